--- a/src/confirmation/majority_confirmation.cc
+++ b/src/confirmation/majority_confirmation.cc
@@ -13,25 +13,25 @@
                                                   bool position_needed, common::Instant deadline) {
   const Pending pending{position, position_needed, deadline, {}};
   if (HasMajority(pending)) {
-    return {{number, Verdict::kConfirmed}};
+    return {{number, Outcome::kConfirmed}};
   }
   pending_[number] = pending;
   last_added_ = std::max(last_added_, number);
   return {};
 }
 
-bool MajorityConfirmation::WantsProbe(const std::string& instance) const {
+bool MajorityConfirmation::NeedsProbe(const std::string& instance) const {
   return std::any_of(pending_.begin(), pending_.end(),
                      [&](const auto& entry) { return !entry.second.votes.contains(instance); });
 }
 
-ProbeNumber MajorityConfirmation::ProbeSent(const std::string& instance) {
+ProbeNumber MajorityConfirmation::StartProbe(const std::string& instance) {
   const ProbeNumber probe = next_probe_++;
   probes_[probe] = {instance, last_added_};
   return probe;
 }
 
-std::vector<Resolution> MajorityConfirmation::ProbeAnswered(ProbeNumber probe,
+std::vector<Resolution> MajorityConfirmation::OnProbeAnswer(ProbeNumber probe,
                                                             const ProbeAnswer& answer) {
   const auto found = probes_.find(probe);
   if (found == probes_.end()) {
@@ -45,7 +45,7 @@
       break;  // added after the probe was sent: the answer may be older than the commit
     }
     if (answer.term > pending.position.term) {
-      resolved.push_back({number, Verdict::kSuperseded});
+      resolved.push_back({number, Outcome::kSuperseded});
       continue;
     }
     const bool holds = !pending.position_needed || answer.received >= pending.position.lsn;
@@ -53,7 +53,7 @@
       pending.votes.insert(sent.instance);
     }
     if (HasMajority(pending)) {
-      resolved.push_back({number, Verdict::kConfirmed});
+      resolved.push_back({number, Outcome::kConfirmed});
     }
   }
   for (const Resolution& resolution : resolved) {
@@ -66,7 +66,7 @@
   std::vector<Resolution> resolved;
   for (const auto& [number, pending] : pending_) {
     if (pending.deadline <= now) {
-      resolved.push_back({number, Verdict::kTimedOut});
+      resolved.push_back({number, Outcome::kTimedOut});
     }
   }
   for (const Resolution& resolution : resolved) {
--- a/src/confirmation/majority_confirmation.h
+++ b/src/confirmation/majority_confirmation.h
@@ -21,7 +21,7 @@
 using PendingNumber = std::uint64_t;
 
 /// How a wait for confirmation ended.
-enum class Verdict : std::uint8_t {
+enum class Outcome : std::uint8_t {
   kConfirmed,
   kSuperseded,  // an instance reports a later term
   kTimedOut,
@@ -29,7 +29,7 @@
 
 struct Resolution {
   PendingNumber number = 0;
-  Verdict verdict = Verdict::kTimedOut;
+  Outcome outcome = Outcome::kTimedOut;
 };
 
 /// What an instance answered to a probe.
@@ -56,13 +56,13 @@
                               common::Instant deadline);
 
   /// @return true if a probe of the instance could settle something.
-  bool WantsProbe(const std::string& instance) const;
+  bool NeedsProbe(const std::string& instance) const;
 
   /// Notes that a probe goes to the instance now; it votes for what is pending at this moment.
-  ProbeNumber ProbeSent(const std::string& instance);
+  ProbeNumber StartProbe(const std::string& instance);
 
-  std::vector<Resolution> ProbeAnswered(ProbeNumber probe, const ProbeAnswer& answer);
-  void ProbeFailed(ProbeNumber probe) { probes_.erase(probe); }
+  std::vector<Resolution> OnProbeAnswer(ProbeNumber probe, const ProbeAnswer& answer);
+  void OnProbeFailed(ProbeNumber probe) { probes_.erase(probe); }
 
   /// Gives up what has reached its deadline.
   std::vector<Resolution> Expire(common::Instant now);
--- a/src/failover/attempt.cc
+++ b/src/failover/attempt.cc
@@ -9,15 +9,15 @@
 namespace {
 
 constexpr common::Duration kControlTimeout{300'000};
-constexpr common::Duration kRepeatPause{40'000};
-constexpr common::Duration kStragglerPause{60'000};  // for replicas beyond those needed
-constexpr common::Duration kFenceLimit{2'500'000};   // then replication is resumed
-constexpr common::Duration kClaimLimit{3'000'000};
-constexpr common::Duration kRecordLimit{3'000'000};
+constexpr common::Duration kControlRepeatInterval{40'000};
+constexpr common::Duration kStragglerWait{60'000};    // for replicas beyond those needed
+constexpr common::Duration kFenceTimeout{2'500'000};  // then replication is resumed
+constexpr common::Duration kClaimTimeout{3'000'000};
+constexpr common::Duration kRecordTimeout{3'000'000};
 constexpr common::Duration kPromotionTimeout{500'000};
-constexpr common::Duration kPromotionPause{100'000};
-constexpr common::Duration kVerifyLimit{1'500'000};
-constexpr common::Duration kAnnouncePause{50'000};
+constexpr common::Duration kPromotionRetryInterval{100'000};
+constexpr common::Duration kVerifyTimeout{1'500'000};
+constexpr common::Duration kReleaseRequestInterval{50'000};
 /// Left of the action window when a promotion may still be sent.
 constexpr common::Duration kActionReserve{100'000};
 
@@ -46,7 +46,7 @@
 }
 
 Attempt::Attempt(std::string service, Leadership& leadership, common::Instant now)
-    : service_(std::move(service)), leadership_(leadership), entered_(now) {}
+    : service_(std::move(service)), leadership_(leadership), step_entered_at_(now) {}
 
 std::vector<AttemptAction> Attempt::Advance(const GroupView& view, common::Instant now) {
   Actions actions;
@@ -55,14 +55,14 @@
     // The promoted instance leads exactly this term: its replicas then let go by themselves.
     fence_term_ = old_term_ + 1;
   }
-  const bool replaced_by_another =
-      (view.term > old_term_ || another_leads_) && step_ != Step::kVerify && !Ended();
-  if (replaced_by_another) {
+  const bool another_primary_known =
+      (view.term > old_term_ || another_primary_leads_) && step_ != Step::kVerify && !Ended();
+  if (another_primary_known) {
     Enter(Step::kFinished, now);
     return actions;
   }
-  if (ClaimIsGone()) {
-    ClaimAnew(now, actions);
+  if (ClaimIsLost()) {
+    RestartClaim(now, actions);
   }
   // A step that completes lets the next one start at once.
   Step before = Step::kGivenUp;
@@ -92,7 +92,7 @@
         break;
     }
     if (step_ != before) {
-      actions.emplace_back(AttemptNote{StepName(step_), candidate_});
+      actions.emplace_back(AttemptLogEntry{StepName(step_), candidate_});
     }
   }
   return actions;
@@ -100,20 +100,20 @@
 
 void Attempt::Enter(Step step, common::Instant now) {
   step_ = step;
-  entered_ = now;
+  step_entered_at_ = now;
   write_failed_ = false;
   write_done_ = false;
-  asked_.clear();
+  requests_.clear();
 }
 
-bool Attempt::ClaimIsGone() const {
+bool Attempt::ClaimIsLost() const {
   const bool claimed = step_ == Step::kFence || step_ == Step::kRelease || step_ == Step::kRecord ||
                        step_ == Step::kPromote;
-  return claimed && !promotion_waiting_ && claimed_era_ != leadership_.Era();
+  return claimed && !promotion_outstanding_ && claimed_era_ != leadership_.Era();
 }
 
-void Attempt::ClaimAnew(common::Instant now, Actions& actions) {
-  actions.emplace_back(AttemptNote{"claim_gone", "the store returned from an older copy"});
+void Attempt::RestartClaim(common::Instant now, Actions& actions) {
+  actions.emplace_back(AttemptLogEntry{"claim_gone", "the store returned from an older copy"});
   // Until it is claimed again, another may replace the primary and lift these fences.
   fenced_.clear();
   fenced_at_ = common::Instant(0);
@@ -122,22 +122,23 @@
 
 void Attempt::GiveUp(const GroupView& view, const std::string& reason, common::Instant now,
                      Actions& actions) {
-  actions.emplace_back(AttemptNote{"giving_up", reason});
-  if (!promotion_sent_once_) {
+  actions.emplace_back(AttemptLogEntry{"giving_up", reason});
+  if (!promotion_was_sent_) {
     // Cut off from a primary that another coordinator has promoted meanwhile, this daemon must not
     // undo what keeps the old one from being taken for the newest: fences, and the record's word.
-    const bool promoted = MayBeReplaced() && !earlier_.candidate.empty();
+    const bool promoted = EarlierReplacementStarted() && !earlier_attempt_.candidate.empty();
     if (!promoted) {
-      ResumeOthers(view, actions);
+      ResumeOtherReplicas(view, actions);
     }
     if (leadership_.MayWrite(now) && leadership_.IsHolder()) {
-      actions.emplace_back(WriteRecord{leadership_.Prepare(service_, LeftBehind(), now)});
+      actions.emplace_back(
+          WriteRecord{leadership_.PrepareWrite(service_, RecordAfterGiveUp(), now)});
     }
   }
   Enter(Step::kGivenUp, now);
 }
 
-void Attempt::NoteEarlier() {
+void Attempt::SaveEarlierAttempt() {
   const auto found = leadership_.Record().attempts.find(service_);
   if (found == leadership_.Record().attempts.end()) {
     return;
@@ -145,15 +146,16 @@
   const auto rank = [](const model::AttemptRecord& entry) {
     return std::pair(entry.replaced_term, !entry.candidate.empty());
   };
-  if (rank(earlier_) < rank(found->second)) {
-    earlier_ = found->second;
+  if (rank(earlier_attempt_) < rank(found->second)) {
+    earlier_attempt_ = found->second;
   }
 }
 
-model::AttemptRecord Attempt::LeftBehind() const {
+model::AttemptRecord Attempt::RecordAfterGiveUp() const {
   // Whatever led before the primary is replaced: daemons cut off since must not be told otherwise.
   const common::Term replaced = old_term_ - 1;
-  return earlier_.replaced_term >= replaced ? earlier_ : model::AttemptRecord{replaced, ""};
+  return earlier_attempt_.replaced_term >= replaced ? earlier_attempt_
+                                                    : model::AttemptRecord{replaced, ""};
 }
 
 void Attempt::Claim(common::Instant now, Actions& actions) {
@@ -162,72 +164,72 @@
     Enter(Step::kFence, now);
     return;
   }
-  if (write_failed_ && now >= entered_ + kClaimLimit) {
+  if (write_failed_ && now >= step_entered_at_ + kClaimTimeout) {
     Enter(Step::kGivenUp, now);
     return;
   }
   if (!leadership_.MayWrite(now)) {
-    if (now >= entered_ + kClaimLimit) {
+    if (now >= step_entered_at_ + kClaimTimeout) {
       Enter(Step::kGivenUp, now);
     }
     return;
   }
-  NoteEarlier();
+  SaveEarlierAttempt();
   // What an earlier replacement of this primary, or of a later one, has left on record stays there:
   // its candidate may lead, and the next attempt must know if this one ends without a word.
   const model::AttemptRecord claim =
-      MayBeReplaced() ? earlier_ : model::AttemptRecord{old_term_, ""};
-  actions.emplace_back(WriteRecord{leadership_.Prepare(service_, claim, now)});
+      EarlierReplacementStarted() ? earlier_attempt_ : model::AttemptRecord{old_term_, ""};
+  actions.emplace_back(WriteRecord{leadership_.PrepareWrite(service_, claim, now)});
 }
 
-void Attempt::MemberRestarted(const std::string& instance, common::Instant now) {
-  const bool was_asked_to_lead = promotion_sent_once_ && instance == candidate_;
-  if (fenced_.erase(instance) == 0 && !was_asked_to_lead) {
+void Attempt::OnMemberRestarted(const std::string& instance, common::Instant now) {
+  const bool promotion_requested = promotion_was_sent_ && instance == candidate_;
+  if (fenced_.erase(instance) == 0 && !promotion_requested) {
     return;
   }
-  asked_.erase(instance);
-  lead_old_term_.erase(instance);
-  lead_earlier_term_.erase(instance);
+  requests_.erase(instance);
+  primaries_of_old_term_.erase(instance);
+  primaries_of_earlier_terms_.erase(instance);
   // Unfenced, it may have acknowledged for the primary that is replaced: the choice is made anew. A
   // promotion that was sent can't be taken back, but is not asked for once more.
   const bool chosen = step_ == Step::kRelease || step_ == Step::kRecord || step_ == Step::kPromote;
-  if (was_asked_to_lead) {
-    rejected_.insert(instance);
+  if (promotion_requested) {
+    excluded_candidates_.insert(instance);
   }
-  if ((chosen && !promotion_sent_once_) || (was_asked_to_lead && !Ended())) {
+  if ((chosen && !promotion_was_sent_) || (promotion_requested && !Ended())) {
     promotion_.reset();
-    promotion_waiting_ = false;
+    promotion_outstanding_ = false;
     fenced_at_ = common::Instant(0);
     Enter(Step::kFence, now);
   }
 }
 
-FenceCount Attempt::FencesOf(const GroupView& view) {
+FenceCount Attempt::CountFences(const GroupView& view) {
   const auto reachable = static_cast<std::size_t>(
       std::count_if(view.members.begin(), view.members.end(), [&](const MemberView& member) {
-        return member.id != view.primary && !member.departed && member.reachable;
+        return member.id != view.primary && !member.terminated && member.reachable;
       }));
-  return {FencesNeeded(view), reachable, ReplicasOf(view)};
+  return {RequiredFences(view), reachable, ReplicaCount(view)};
 }
 
-bool Attempt::Feasible(const GroupView& view) {
-  const FenceCount fences = FencesOf(view);
+bool Attempt::IsFeasible(const GroupView& view) {
+  const FenceCount fences = CountFences(view);
   return fences.reachable >= fences.needed;
 }
 
-std::size_t Attempt::CountedFences(const GroupView& view) const {
+std::size_t Attempt::FencedReplicas(const GroupView& view) const {
   return static_cast<std::size_t>(std::count_if(
       view.members.begin(), view.members.end(),
-      [&](const MemberView& member) { return !member.departed && fenced_.contains(member.id); }));
+      [&](const MemberView& member) { return !member.terminated && fenced_.contains(member.id); }));
 }
 
-std::size_t Attempt::ReplicasOf(const GroupView& view) {
+std::size_t Attempt::ReplicaCount(const GroupView& view) {
   return static_cast<std::size_t>(std::count_if(
       view.members.begin(), view.members.end(),
-      [&](const MemberView& member) { return member.id != view.primary && !member.departed; }));
+      [&](const MemberView& member) { return member.id != view.primary && !member.terminated; }));
 }
 
-std::size_t Attempt::FencesNeeded(const GroupView& view) {
+std::size_t Attempt::RequiredFences(const GroupView& view) {
   if (view.one_fence_is_enough) {
     return 1;
   }
@@ -236,7 +238,8 @@
   // A primary that is not known, or no longer listed, counts all the same.
   // What a restarted replica held before can't be asked any more: it counts as one that can't be
   // fenced.
-  const std::size_t replicas = std::max(ReplicasOf(view), view.known_replicas) + view.lost_logs;
+  const std::size_t replicas =
+      std::max(ReplicaCount(view), view.reported_replicas) + view.lost_logs;
   const std::size_t members = replicas + 1;
   const std::size_t sync = view.sync_replicas;
   const std::size_t for_commits = replicas >= sync ? replicas - sync + 1 : 1;
@@ -248,29 +251,29 @@
 void Attempt::Fence(const GroupView& view, common::Instant now, Actions& actions) {
   const model::ControlRequest pause{model::ControlKind::kPauseReplication, fence_term_};
   const model::ControlRequest demote{model::ControlKind::kDemote, fence_term_};
-  const std::size_t replicas = ReplicasOf(view);
+  const std::size_t replicas = ReplicaCount(view);
   for (const MemberView& member : view.members) {
     if (member.id == view.primary) {
       continue;
     }
     if (!fenced_.contains(member.id)) {
-      const bool leads =
-          lead_old_term_.contains(member.id) || lead_earlier_term_.contains(member.id);
-      Ask(member.id, leads ? demote : pause, kRepeatPause, now, actions);
+      const bool leads = primaries_of_old_term_.contains(member.id) ||
+                         primaries_of_earlier_terms_.contains(member.id);
+      SendIfDue(member.id, leads ? demote : pause, kControlRepeatInterval, now, actions);
     }
   }
-  const std::size_t fenced = CountedFences(view);
-  const bool enough = fenced >= FencesNeeded(view);
+  const std::size_t fenced = FencedReplicas(view);
+  const bool enough = fenced >= RequiredFences(view);
   const bool all = fenced >= replicas;
   if (enough && fenced_at_ == common::Instant(0)) {
     fenced_at_ = now;
   }
-  if (enough && (all || now >= fenced_at_ + kStragglerPause)) {
+  if (enough && (all || now >= fenced_at_ + kStragglerWait)) {
     if (ChooseCandidate(view)) {
-      actions.emplace_back(AnnounceFence{old_term_});
-      announced_at_ = now;
+      actions.emplace_back(RequestLeaseRelease{old_term_});
+      release_requested_at_ = now;
       Enter(Step::kRelease, now);
-      DemoteFormer(view, now, actions);
+      DemoteOldPrimary(view, now, actions);
       return;
     }
     if (all) {
@@ -279,7 +282,7 @@
       return;
     }
   }
-  if (now >= entered_ + kFenceLimit) {
+  if (now >= step_entered_at_ + kFenceTimeout) {
     GiveUp(view, enough ? "no candidate" : "too few fenced", now, actions);
   }
 }
@@ -298,10 +301,11 @@
   };
   const auto rank = [&](const MemberView& member) {
     const auto fenced = fenced_.find(member.id);
-    if (fenced == fenced_.end() || rejected_.contains(member.id)) {
+    if (fenced == fenced_.end() || excluded_candidates_.contains(member.id)) {
       return Rank{};
     }
-    return Rank{true, fenced->second.received, member.fitness, !member.draining && !member.gone};
+    return Rank{true, fenced->second.received, member.fitness,
+                !member.draining && !member.unlisted};
   };
   const MemberView* best = nullptr;
   for (const MemberView& member : view.members) {
@@ -313,45 +317,46 @@
       best = &member;
     }
   }
-  if (best == nullptr || rank(*best).received < view.floor) {
+  if (best == nullptr || rank(*best).received < view.minimum_position) {
     return false;
   }
-  if (view.better_than && best->fitness <= *view.better_than) {
+  if (view.fitness_to_exceed && best->fitness <= *view.fitness_to_exceed) {
     return false;
   }
   candidate_ = best->id;
   return true;
 }
 
-void Attempt::DemoteFormer(const GroupView& view, common::Instant now, Actions& actions) {
+void Attempt::DemoteOldPrimary(const GroupView& view, common::Instant now, Actions& actions) {
   // The fences alone keep it from committing; demoted, it also refuses at once what is still open
   // there, and a replica that comes back unfenced cannot acknowledge for it.
   for (const MemberView& member : view.members) {
-    if (member.id == view.primary && member.reachable && !former_demoted_) {
-      Ask(member.id, {model::ControlKind::kDemote, fence_term_}, kRepeatPause, now, actions);
+    if (member.id == view.primary && member.reachable && !old_primary_demoted_) {
+      SendIfDue(member.id, {model::ControlKind::kDemote, fence_term_}, kControlRepeatInterval, now,
+                actions);
     }
   }
 }
 
-void Attempt::FenceReturned(const GroupView& view, common::Instant now, Actions& actions) {
+void Attempt::FenceReturnedReplicas(const GroupView& view, common::Instant now, Actions& actions) {
   for (const MemberView& member : view.members) {
     if (member.id != view.primary && !fenced_.contains(member.id)) {
-      Ask(member.id, {model::ControlKind::kPauseReplication, fence_term_}, kRepeatPause, now,
-          actions);
+      SendIfDue(member.id, {model::ControlKind::kPauseReplication, fence_term_},
+                kControlRepeatInterval, now, actions);
     }
   }
 }
 
 void Attempt::AwaitRelease(const GroupView& view, common::Instant now, Actions& actions) {
-  DemoteFormer(view, now, actions);
-  FenceReturned(view, now, actions);
-  if (view.unreleased.empty() || now >= fenced_at_ + group::kLeaseTime) {
+  DemoteOldPrimary(view, now, actions);
+  FenceReturnedReplicas(view, now, actions);
+  if (view.unreleased_daemons.empty() || now >= fenced_at_ + group::kLeaseTime) {
     Enter(Step::kRecord, now);
     return;
   }
-  if (now >= announced_at_ + kAnnouncePause) {
-    actions.emplace_back(AnnounceFence{old_term_});
-    announced_at_ = now;
+  if (now >= release_requested_at_ + kReleaseRequestInterval) {
+    actions.emplace_back(RequestLeaseRelease{old_term_});
+    release_requested_at_ = now;
   }
 }
 
@@ -360,76 +365,77 @@
     Enter(Step::kPromote, now);
     return;
   }
-  if (now >= entered_ + kRecordLimit) {
+  if (now >= step_entered_at_ + kRecordTimeout) {
     GiveUp(view, "the leadership record could not be written", now, actions);
     return;
   }
   if (!leadership_.MayWrite(now) || !leadership_.IsHolder()) {
     return;
   }
-  actions.emplace_back(WriteRecord{leadership_.Prepare(service_, {old_term_, candidate_}, now)});
+  actions.emplace_back(
+      WriteRecord{leadership_.PrepareWrite(service_, {old_term_, candidate_}, now)});
 }
 
 void Attempt::Promote(common::Instant now, Actions& actions) {
   if (promotion_) {
     const PromotionStatus status = *promotion_;
     promotion_.reset();
-    promotion_waiting_ = false;
+    promotion_outstanding_ = false;
     if (status == PromotionStatus::kAccepted) {
       Enter(Step::kVerify, now);
       return;
     }
     if (status == PromotionStatus::kNotRunning) {
-      rejected_.insert(candidate_);
+      excluded_candidates_.insert(candidate_);
       fenced_.erase(candidate_);
       Enter(Step::kFence, now);
       return;
     }
   }
-  const bool unanswered = promotion_waiting_ && now >= promotion_sent_ + kPromotionTimeout;
+  const bool unanswered = promotion_outstanding_ && now >= promotion_sent_at_ + kPromotionTimeout;
   if (unanswered) {
     // It may have been done: look, before asking once more.
-    promotion_waiting_ = false;
+    promotion_outstanding_ = false;
     Enter(Step::kVerify, now);
     return;
   }
-  if (promotion_waiting_) {
+  if (promotion_outstanding_) {
     return;
   }
   if (now + kActionReserve >= leadership_.MayActUntil()) {
     Enter(Step::kRecord, now);
     return;
   }
-  if (promotion_sent_once_ && now < promotion_sent_ + kPromotionPause) {
+  if (promotion_was_sent_ && now < promotion_sent_at_ + kPromotionRetryInterval) {
     return;
   }
-  promotion_waiting_ = true;
-  promotion_sent_once_ = true;
-  promotion_sent_ = now;
+  promotion_outstanding_ = true;
+  promotion_was_sent_ = true;
+  promotion_sent_at_ = now;
   actions.emplace_back(
-      RequestPromotion{candidate_, leadership_.Self(), leadership_.Record().token});
+      RequestPromotion{candidate_, leadership_.OwnName(), leadership_.Record().token});
 }
 
 void Attempt::Verify(const GroupView& view, common::Instant now, Actions& actions) {
-  if (leads_ || view.term > old_term_) {
+  if (candidate_leads_ || view.term > old_term_) {
     // Replicas let go of their fences when they hear of the new primary. Until then none of them
     // may receive from the old one again, unless that can't commit any more.
-    if (former_demoted_) {
-      ResumeOthers(view, actions);
+    if (old_primary_demoted_) {
+      ResumeOtherReplicas(view, actions);
     }
     Enter(Step::kFinished, now);
     return;
   }
-  if (now >= entered_ + kVerifyLimit) {
+  if (now >= step_entered_at_ + kVerifyTimeout) {
     Enter(Step::kRecord, now);
     return;
   }
-  Ask(candidate_, {model::ControlKind::kStatus, 0}, kRepeatPause, now, actions);
+  SendIfDue(candidate_, {model::ControlKind::kStatus, 0}, kControlRepeatInterval, now, actions);
 }
 
-void Attempt::Ask(const std::string& instance, const model::ControlRequest& request,
-                  common::Duration pause, common::Instant now, Actions& actions) {
-  Outstanding& outstanding = asked_[instance];
+void Attempt::SendIfDue(const std::string& instance, const model::ControlRequest& request,
+                        common::Duration pause, common::Instant now, Actions& actions) {
+  SentRequest& outstanding = requests_[instance];
   const bool late = outstanding.waiting && now >= outstanding.sent + kControlTimeout;
   const bool pausing = now < outstanding.sent + pause;
   if ((outstanding.waiting && !late) || pausing) {
@@ -439,7 +445,7 @@
   actions.emplace_back(SendControl{instance, request});
 }
 
-void Attempt::ResumeOthers(const GroupView& view, Actions& actions) {
+void Attempt::ResumeOtherReplicas(const GroupView& view, Actions& actions) {
   for (const MemberView& member : view.members) {
     const bool other = member.id != candidate_ || step_ != Step::kVerify;
     if (other && member.id != view.primary) {
@@ -448,47 +454,48 @@
   }
 }
 
-void Attempt::ControlAnswered(const std::string& instance, const model::ControlRequest& request,
+void Attempt::OnControlAnswer(const std::string& instance, const model::ControlRequest& request,
                               const std::optional<model::InstanceStatus>& status,
                               common::Instant now) {
-  const auto asked = asked_.find(instance);
-  if (asked != asked_.end()) {
+  const auto asked = requests_.find(instance);
+  if (asked != requests_.end()) {
     asked->second.waiting = false;
   }
   if (!status) {
     return;
   }
-  if (request.kind == model::ControlKind::kDemote && lead_earlier_term_.contains(instance)) {
+  if (request.kind == model::ControlKind::kDemote &&
+      primaries_of_earlier_terms_.contains(instance)) {
     if (!status->primary) {
-      lead_earlier_term_.erase(instance);
+      primaries_of_earlier_terms_.erase(instance);
     }
     return;
   }
   if (request.kind == model::ControlKind::kDemote) {
-    former_demoted_ = !status->primary;
-    if (former_demoted_) {
-      lead_old_term_.erase(instance);
+    old_primary_demoted_ = !status->primary;
+    if (old_primary_demoted_) {
+      primaries_of_old_term_.erase(instance);
     }
     return;
   }
   if (request.kind == model::ControlKind::kPauseReplication && step_ == Step::kFence) {
-    TakeFence(instance, request, *status, now);
+    ApplyFenceAnswer(instance, request, *status, now);
     return;
   }
   const bool leads = status->primary && status->term > old_term_ && instance == candidate_;
   if (request.kind == model::ControlKind::kStatus && step_ == Step::kVerify && leads) {
-    leads_ = true;
+    candidate_leads_ = true;
   }
 }
 
-void Attempt::TakeFence(const std::string& instance, const model::ControlRequest& request,
-                        const model::InstanceStatus& status, common::Instant now) {
+void Attempt::ApplyFenceAnswer(const std::string& instance, const model::ControlRequest& request,
+                               const model::InstanceStatus& status, common::Instant now) {
   if (status.primary) {
-    another_leads_ = status.term > old_term_;
+    another_primary_leads_ = status.term > old_term_;
     if (status.term == old_term_) {
-      lead_old_term_.insert(instance);
+      primaries_of_old_term_.insert(instance);
     } else if (status.term < old_term_) {
-      lead_earlier_term_.insert(instance);
+      primaries_of_earlier_terms_.insert(instance);
     }
     return;
   }
@@ -508,13 +515,13 @@
   }
 }
 
-void Attempt::RecordWritten(bool held) {
+void Attempt::OnRecordWritten(bool held) {
   write_done_ = held;
   write_failed_ = !held;
 }
 
-void Attempt::PromotionAnswered(PromotionStatus status) {
-  if (promotion_waiting_) {
+void Attempt::OnPromotionAnswer(PromotionStatus status) {
+  if (promotion_outstanding_) {
     promotion_ = status;
   }
 }
--- a/src/failover/attempt.h
+++ b/src/failover/attempt.h
@@ -39,8 +39,8 @@
   std::string id;
   bool draining = false;
   bool reachable = false;
-  bool departed = false;  // counts as ended; fenced all the same should it come back
-  bool gone = false;      // no longer listed; may still hold the only copy of a commit
+  bool terminated = false;  // counts as ended; fenced all the same should it come back
+  bool unlisted = false;    // no longer listed; may still hold the only copy of a commit
   model::LeaderFitness fitness = model::LeaderFitness::kFit;
 };
 
@@ -51,13 +51,13 @@
   std::string primary;    // empty if none is known
   std::uint32_t sync_replicas = 0;
   std::vector<MemberView> members;
-  bool one_fence_is_enough = false;  // for tests of the checkers only
-  std::size_t known_replicas = 0;    // as other daemons count them
-  common::Position floor;            // that the candidate must hold, for replicas that ended
-  std::size_t lost_logs = 0;         // replicas that may have held the only copy of a commit
-  std::set<std::string> unreleased;  // daemons that may still read at the old primary
+  bool one_fence_is_enough = false;   // for tests of the checkers only
+  std::size_t reported_replicas = 0;  // as other daemons count them
+  common::Position minimum_position;  // that the candidate must hold, for replicas that ended
+  std::size_t lost_logs = 0;          // replicas that may have held the only copy of a commit
+  std::set<std::string> unreleased_daemons;  // daemons that may still read at the old primary
   /// The replacement is planned: it is worth nothing unless the new primary suits better than this.
-  std::optional<model::LeaderFitness> better_than;
+  std::optional<model::LeaderFitness> fitness_to_exceed;
 };
 
 /// Sends a control request to an instance.
@@ -67,12 +67,12 @@
 };
 
 /// Tells all daemons to let go of the replaced primary's term.
-struct AnnounceFence {
+struct RequestLeaseRelease {
   common::Term replaced_term = 0;
 };
 
 struct WriteRecord {
-  RecordWrite write;
+  ConditionalWrite write;
 };
 
 /// Asks the platform to promote.
@@ -83,13 +83,13 @@
 };
 
 /// A line for the log.
-struct AttemptNote {
+struct AttemptLogEntry {
   std::string step;
   std::string detail;
 };
 
 using AttemptAction =
-    std::variant<SendControl, AnnounceFence, WriteRecord, RequestPromotion, AttemptNote>;
+    std::variant<SendControl, RequestLeaseRelease, WriteRecord, RequestPromotion, AttemptLogEntry>;
 
 enum class PromotionStatus : std::uint8_t { kAccepted, kNotRunning, kRefused, kNoAnswer };
 
@@ -123,22 +123,22 @@
   std::vector<AttemptAction> Advance(const GroupView& view, common::Instant now);
 
   /// Takes an instance's answer to a control request, nothing if there was none.
-  void ControlAnswered(const std::string& instance, const model::ControlRequest& request,
+  void OnControlAnswer(const std::string& instance, const model::ControlRequest& request,
                        const std::optional<model::InstanceStatus>& status, common::Instant now);
 
   /// An instance has started again: its fence is gone, and so is what it held.
-  void MemberRestarted(const std::string& instance, common::Instant now);
+  void OnMemberRestarted(const std::string& instance, common::Instant now);
 
   /// @return how many replicas must be fenced, and how many answer.
-  static FenceCount FencesOf(const GroupView& view);
+  static FenceCount CountFences(const GroupView& view);
 
   /// @return true if so many replicas answer that the primary could be replaced.
-  static bool Feasible(const GroupView& view);
+  static bool IsFeasible(const GroupView& view);
 
   /// Takes the result of the record's write. @param held as Leadership::Written returned.
-  void RecordWritten(bool held);
+  void OnRecordWritten(bool held);
 
-  void PromotionAnswered(PromotionStatus status);
+  void OnPromotionAnswer(PromotionStatus status);
 
   const std::string& Service() const { return service_; }
   Step CurrentStep() const { return step_; }
@@ -150,7 +150,7 @@
   struct Fenced {
     common::Position received;
   };
-  struct Outstanding {
+  struct SentRequest {
     common::Instant sent{0};
     bool waiting = false;
   };
@@ -159,59 +159,61 @@
 
   void Enter(Step step, common::Instant now);
   /// @return true if the claim was written in an earlier era than the store's present one.
-  bool ClaimIsGone() const;
-  void ClaimAnew(common::Instant now, Actions& actions);
+  bool ClaimIsLost() const;
+  void RestartClaim(common::Instant now, Actions& actions);
   void GiveUp(const GroupView& view, const std::string& reason, common::Instant now,
               Actions& actions);
   void Claim(common::Instant now, Actions& actions);
   /// Keeps what the record tells of the service now: the claim is about to be written over it.
-  void NoteEarlier();
+  void SaveEarlierAttempt();
   /// @return what the record should tell of the service once this attempt is given up.
-  model::AttemptRecord LeftBehind() const;
+  model::AttemptRecord RecordAfterGiveUp() const;
   /// @return true if another replacement of the same primary was begun before, and perhaps done.
-  bool MayBeReplaced() const { return earlier_.replaced_term >= old_term_; }
+  bool EarlierReplacementStarted() const { return earlier_attempt_.replaced_term >= old_term_; }
   void Fence(const GroupView& view, common::Instant now, Actions& actions);
   void AwaitRelease(const GroupView& view, common::Instant now, Actions& actions);
   void Record(const GroupView& view, common::Instant now, Actions& actions);
   void Promote(common::Instant now, Actions& actions);
   void Verify(const GroupView& view, common::Instant now, Actions& actions);
-  void TakeFence(const std::string& instance, const model::ControlRequest& request,
-                 const model::InstanceStatus& status, common::Instant now);
-  void Ask(const std::string& instance, const model::ControlRequest& request,
-           common::Duration pause, common::Instant now, Actions& actions);
-  void DemoteFormer(const GroupView& view, common::Instant now, Actions& actions);
-  void FenceReturned(const GroupView& view, common::Instant now, Actions& actions);
-  void ResumeOthers(const GroupView& view, Actions& actions);
-  std::size_t CountedFences(const GroupView& view) const;
+  void ApplyFenceAnswer(const std::string& instance, const model::ControlRequest& request,
+                        const model::InstanceStatus& status, common::Instant now);
+  void SendIfDue(const std::string& instance, const model::ControlRequest& request,
+                 common::Duration pause, common::Instant now, Actions& actions);
+  void DemoteOldPrimary(const GroupView& view, common::Instant now, Actions& actions);
+  void FenceReturnedReplicas(const GroupView& view, common::Instant now, Actions& actions);
+  void ResumeOtherReplicas(const GroupView& view, Actions& actions);
+  std::size_t FencedReplicas(const GroupView& view) const;
   bool ChooseCandidate(const GroupView& view);
-  static std::size_t ReplicasOf(const GroupView& view);
-  static std::size_t FencesNeeded(const GroupView& view);
+  static std::size_t ReplicaCount(const GroupView& view);
+  static std::size_t RequiredFences(const GroupView& view);
 
   std::string service_;
   Leadership& leadership_;
   Step step_ = Step::kClaim;
-  common::Instant entered_{0};
-  model::AttemptRecord earlier_;  // what the record told of the service before this attempt
+  common::Instant step_entered_at_{0};
+  model::AttemptRecord earlier_attempt_;  // what the record told of the service before this attempt
   std::uint64_t claimed_era_ = 0;
   common::Term old_term_ = 0;
   common::Term fence_term_ = 0;
-  bool another_leads_ = false;
-  bool former_demoted_ = false;
-  std::set<std::string> lead_old_term_;      // the old primary, back under an id that was not known
-  std::set<std::string> lead_earlier_term_;  // replaced before, and back without knowing it
+  bool another_primary_leads_ = false;
+  bool old_primary_demoted_ = false;
+  std::set<std::string>
+      primaries_of_old_term_;  // the old primary, back under an id that was not known
+  std::set<std::string>
+      primaries_of_earlier_terms_;  // replaced before, and back without knowing it
   bool write_failed_ = false;
   bool write_done_ = false;
   std::map<std::string, Fenced> fenced_;
-  std::map<std::string, Outstanding> asked_;
+  std::map<std::string, SentRequest> requests_;
   common::Instant fenced_at_{0};
-  common::Instant announced_at_{0};
+  common::Instant release_requested_at_{0};
   std::string candidate_;
   std::optional<PromotionStatus> promotion_;
-  common::Instant promotion_sent_{0};
-  bool promotion_waiting_ = false;
-  bool promotion_sent_once_ = false;
-  std::set<std::string> rejected_;  // candidates that do not run
-  bool leads_ = false;
+  common::Instant promotion_sent_at_{0};
+  bool promotion_outstanding_ = false;
+  bool promotion_was_sent_ = false;
+  std::set<std::string> excluded_candidates_;  // candidates that do not run
+  bool candidate_leads_ = false;
 };
 
 }  // namespace valvekeel::failover
--- a/src/failover/leadership.cc
+++ b/src/failover/leadership.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// Room for the holders of an era: a hundred a second for a year are 3 thousand million.
-constexpr std::uint64_t kTokensOfEra = std::uint64_t{1} << 32U;
+constexpr std::uint64_t kTokensPerEra = std::uint64_t{1} << 32U;
 
 }  // namespace
 
@@ -14,24 +14,24 @@
   if (era <= revision_.era) {
     return;
   }
-  known_ = false;
-  revision_ = model::FirstOf(era);
-  era_began_ = now;
-  acts_until_ = common::Instant(0);
+  record_known_ = false;
+  revision_ = model::FirstRevisionOfEra(era);
+  era_started_at_ = now;
+  may_act_until_ = common::Instant(0);
   // Which replacements were begun is still true; who holds the record is not.
   record_.holder.clear();
 }
 
-void Leadership::Seen(const model::LeadershipRecord& record, const model::Revision& revision,
-                      common::Instant now) {
+void Leadership::OnRecordRead(const model::LeadershipRecord& record,
+                              const model::Revision& revision, common::Instant now) {
   BeginEra(revision.era, now);
-  const bool of_another_era = revision.number != 0 && record.era != revision.era;
-  const bool older =
-      of_another_era || revision.era < revision_.era || (known_ && revision <= revision_);
+  const bool belongs_to_other_era = revision.number != 0 && record.era != revision.era;
+  const bool older = belongs_to_other_era || revision.era < revision_.era ||
+                     (record_known_ && revision <= revision_);
   if (older) {
     return;
   }
-  known_ = true;
+  record_known_ = true;
   revision_ = revision;
   changed_at_ = now;
   const bool vacant = revision.number == 0;
@@ -41,16 +41,17 @@
 }
 
 bool Leadership::MayWrite(common::Instant now) const {
-  if (!known_ || writing_ || !EraSettled(now)) {
+  if (!record_known_ || write_in_progress_ || !EarlierErasExpired(now)) {
     return false;
   }
   const bool vacant = revision_.number == 0;
   return vacant || IsHolder() || now >= changed_at_ + kTakeoverTime;
 }
 
-RecordWrite Leadership::Prepare(const std::string& service, const model::AttemptRecord& attempt,
-                                common::Instant now) {
-  RecordWrite write;
+ConditionalWrite Leadership::PrepareWrite(const std::string& service,
+                                          const model::AttemptRecord& attempt,
+                                          common::Instant now) {
+  ConditionalWrite write;
   write.record = record_;
   if (attempt.replaced_term == 0) {
     write.record.attempts.erase(service);
@@ -58,33 +59,33 @@
     write.record.attempts[service] = attempt;
   }
   write.record.era = revision_.era;
-  write.record.holder = holder_;
-  const std::uint64_t highest = std::max(record_.token, revision_.era * kTokensOfEra);
+  write.record.holder = own_name_;
+  const std::uint64_t highest = std::max(record_.token, revision_.era * kTokensPerEra);
   write.record.token = IsHolder() ? record_.token : highest + 1;
   write.record.sequence = record_.sequence + 1;
-  write.record.nonce = holder_ + "/" + std::to_string(++writes_);
+  write.record.nonce = own_name_ + "/" + std::to_string(++write_count_);
   write.revision = revision_;
-  writing_ = true;
-  writing_nonce_ = write.record.nonce;
-  first_sent_ = now;
+  write_in_progress_ = true;
+  write_nonce_ = write.record.nonce;
+  write_sent_at_ = now;
   return write;
 }
 
-bool Leadership::Written(const WriteResult& result, common::Instant now) {
-  writing_ = false;
+bool Leadership::OnWriteResult(const WriteResult& result, common::Instant now) {
+  write_in_progress_ = false;
   const bool answered =
       result.status == WriteStatus::kWritten || result.status == WriteStatus::kConflict;
   if (!answered) {
     return false;
   }
   // A conflict with our own write: its first answer was lost.
-  const bool ours = result.record.nonce == writing_nonce_;
-  Seen(result.record, result.revision, now);
-  const bool counts = result.record.era == Era() && result.revision.era == Era();
-  if (!ours || !counts) {
+  const bool ours = result.record.nonce == write_nonce_;
+  OnRecordRead(result.record, result.revision, now);
+  const bool in_current_era = result.record.era == Era() && result.revision.era == Era();
+  if (!ours || !in_current_era) {
     return false;
   }
-  acts_until_ = first_sent_ + kActionWindow;
+  may_act_until_ = write_sent_at_ + kActionWindow;
   return true;
 }
 
--- a/src/failover/leadership.h
+++ b/src/failover/leadership.h
@@ -44,7 +44,7 @@
 };
 
 /// A conditional write.
-struct RecordWrite {
+struct ConditionalWrite {
   model::LeadershipRecord record;
   model::Revision revision;  // the record must have; number 0: it must not exist
 };
@@ -52,11 +52,11 @@
 class Leadership {
  public:
   /// @param holder name of this life of this daemon; differs from that of an earlier life.
-  explicit Leadership(std::string holder) : holder_(std::move(holder)) {}
+  explicit Leadership(std::string holder) : own_name_(std::move(holder)) {}
 
   /// Takes the record as the store has it. @param revision of number 0 if there is none.
-  void Seen(const model::LeadershipRecord& record, const model::Revision& revision,
-            common::Instant now);
+  void OnRecordRead(const model::LeadershipRecord& record, const model::Revision& revision,
+                    common::Instant now);
 
   /// The store's history is of this era now: nothing that was written in an earlier one counts.
   void BeginEra(std::uint64_t era, common::Instant now);
@@ -68,44 +68,44 @@
   bool MayWrite(common::Instant now) const;
 
   /// @return true if nobody can act on the record's last write any more.
-  bool Settled(common::Instant now) const {
-    return known_ && EraSettled(now) && now >= changed_at_ + kTakeoverTime;
+  bool LastWriteExpired(common::Instant now) const {
+    return record_known_ && EarlierErasExpired(now) && now >= changed_at_ + kTakeoverTime;
   }
 
   /// @param attempt of the service; one of term 0 takes the service's entry out.
   /// @return the write to make; MayWrite must hold.
-  RecordWrite Prepare(const std::string& service, const model::AttemptRecord& attempt,
-                      common::Instant now);
+  ConditionalWrite PrepareWrite(const std::string& service, const model::AttemptRecord& attempt,
+                                common::Instant now);
 
   /// Takes the result of the write made last. @return true if this daemon holds the record with it.
-  bool Written(const WriteResult& result, common::Instant now);
+  bool OnWriteResult(const WriteResult& result, common::Instant now);
 
-  bool Writing() const { return writing_; }
-  bool IsHolder() const { return known_ && record_.holder == holder_; }
+  bool WriteInProgress() const { return write_in_progress_; }
+  bool IsHolder() const { return record_known_ && record_.holder == own_name_; }
   const std::string& Holder() const { return record_.holder; }
   const model::LeadershipRecord& Record() const { return record_; }
-  const std::string& Self() const { return holder_; }
+  const std::string& OwnName() const { return own_name_; }
 
   /// @return the instant until which this daemon may act on its last successful write.
-  common::Instant MayActUntil() const { return acts_until_; }
+  common::Instant MayActUntil() const { return may_act_until_; }
 
  private:
   /// @return true if nobody can act any more on a write of an earlier era.
-  bool EraSettled(common::Instant now) const {
-    return revision_.era == 0 || now >= era_began_ + kTakeoverTime;
+  bool EarlierErasExpired(common::Instant now) const {
+    return revision_.era == 0 || now >= era_started_at_ + kTakeoverTime;
   }
 
-  std::string holder_;
-  bool known_ = false;
+  std::string own_name_;
+  bool record_known_ = false;
   model::LeadershipRecord record_;
   model::Revision revision_;
-  common::Instant era_began_{0};  // as far as is known here
+  common::Instant era_started_at_{0};  // as far as is known here
   common::Instant changed_at_{0};
-  bool writing_ = false;
-  std::string writing_nonce_;
-  common::Instant first_sent_{0};  // of the write in progress, its repetitions included
-  common::Instant acts_until_{0};
-  std::uint64_t writes_ = 0;
+  bool write_in_progress_ = false;
+  std::string write_nonce_;
+  common::Instant write_sent_at_{0};  // of the write in progress, its repetitions included
+  common::Instant may_act_until_{0};
+  std::uint64_t write_count_ = 0;
 };
 
 }  // namespace valvekeel::failover
--- a/src/gateway/batch_router.cc
+++ b/src/gateway/batch_router.cc
@@ -88,7 +88,7 @@
 
 awaitable<RoutedReply> BatchRouter::Run(SessionRoute& route, SessionBatch batch) {
   const Instant deadline = SteadyNow() + route.budget;
-  BudgetOf(route.share_group).NoteRequest();
+  BudgetOf(route.share_group).OnRequest();
   BatchRequest request;
   request.database = route.database;
   request.share_group = route.share_group;
@@ -196,8 +196,8 @@
       co_return RefusedHere(Refusal::kUnreachable, "the database is not declared",
                             kRetryAfterNoPrimary);
     }
-    const routing::ReadNeeds needs{route.required, settings_.zone, route.preferred_replica,
-                                   route.number};
+    const routing::ReadRequirements needs{route.required, settings_.zone, route.preferred_replica,
+                                          route.number};
     for (const std::string& instance : split_.ReadCandidates(*view, needs, SteadyNow())) {
       const bool primary = instance == view->primary;
       BatchRequest attempt = request;
@@ -228,7 +228,7 @@
       if (overloaded && primary) {
         co_return last;
       }
-      if (last.outcome == Outcome::kUnknown && !BudgetOf(route.share_group).TakeRetry()) {
+      if (last.outcome == Outcome::kUnknown && !BudgetOf(route.share_group).ConsumeRetry()) {
         co_return last;
       }
       counters_.retries += first ? 0 : 1;
@@ -265,7 +265,7 @@
       if (final_refusal || !(not_run || repeat)) {
         co_return reply;
       }
-      if (repeat && !BudgetOf(route.share_group).TakeRetry()) {
+      if (repeat && !BudgetOf(route.share_group).ConsumeRetry()) {
         co_return reply;
       }
       ++counters_.retries;
--- a/src/group/position_history.cc
+++ b/src/group/position_history.cc
@@ -3,8 +3,8 @@
 namespace valvekeel::group {
 namespace {
 
-constexpr common::Duration kKept{10'000'000};
-constexpr common::Duration kSpacing{20'000};
+constexpr common::Duration kRetention{10'000'000};
+constexpr common::Duration kSampleInterval{20'000};
 
 }  // namespace
 
@@ -19,10 +19,10 @@
     samples_.clear();
   }
   newest_ = sample;
-  if (samples_.empty() || sample.instant >= samples_.back().instant + kSpacing) {
+  if (samples_.empty() || sample.instant >= samples_.back().instant + kSampleInterval) {
     samples_.push_back(sample);
   }
-  while (samples_.front().instant + kKept < sample.instant) {
+  while (samples_.front().instant + kRetention < sample.instant) {
     samples_.pop_front();
   }
 }
--- a/src/group/read_lease.cc
+++ b/src/group/read_lease.cc
@@ -6,39 +6,39 @@
 namespace {
 
 /// Rounds that are kept while answers are missing.
-constexpr std::size_t kOpenRounds = 8;
+constexpr std::size_t kMaxOpenRounds = 8;
 
 }  // namespace
 
 RoundNumber ReadLease::StartRound(std::size_t members, common::Instant now) {
   const RoundNumber number = next_round_++;
-  rounds_[number] = {members, now, {}, held_};
-  if (rounds_.size() > kOpenRounds) {
+  rounds_[number] = {members, now, {}, highest_received_};
+  if (rounds_.size() > kMaxOpenRounds) {
     rounds_.erase(rounds_.begin());
   }
   return number;
 }
 
-bool ReadLease::Answer(RoundNumber round, const std::string& instance,
-                       const model::InstanceStatus& status) {
+bool ReadLease::OnAnswer(RoundNumber round, const std::string& instance,
+                         const model::InstanceStatus& status) {
   const auto found = rounds_.find(round);
   if (found == rounds_.end()) {
     return false;
   }
   found->second.answers[instance] = status;
   if (status.received.term == status.term) {
-    held_ = std::max(held_, status.received);
+    highest_received_ = std::max(highest_received_, status.received);
   }
-  if (!Confirm(found->second)) {
+  if (!TryConfirm(found->second)) {
     return false;
   }
   rounds_.erase(found);
   return true;
 }
 
-bool ReadLease::HoldsItsTerm(const Round& round, const std::string& primary) const {
+bool ReadLease::HasCompleteLog(const Round& round, const std::string& primary) const {
   const model::InstanceStatus& leader = round.answers.at(primary);
-  if (leader.term == round.held.term && leader.received < round.held) {
+  if (leader.term == round.required_position.term && leader.received < round.required_position) {
     return false;
   }
   // Who knows nothing of the group yet goes by this round: a replica that was asked a moment later
@@ -46,13 +46,13 @@
   const bool first = newest_.term < leader.term;
   return std::none_of(round.answers.begin(), round.answers.end(), [&](const auto& each) {
     const model::InstanceStatus& other = each.second;
-    const bool of_its_term = other.term == leader.term && other.received.term == leader.term;
-    const bool nothing_left = leader.received.lsn == 0 && other.received.lsn > 0;
-    return nothing_left || (first && of_its_term && leader.received < other.received);
+    const bool of_same_term = other.term == leader.term && other.received.term == leader.term;
+    const bool lost_its_log = leader.received.lsn == 0 && other.received.lsn > 0;
+    return lost_its_log || (first && of_same_term && leader.received < other.received);
   });
 }
 
-bool ReadLease::Confirm(const Round& round) {
+bool ReadLease::TryConfirm(const Round& round) {
   const auto primary = std::max_element(
       round.answers.begin(), round.answers.end(), [](const auto& a, const auto& b) {
         const common::Term a_term = a.second.primary ? a.second.term : 0;
@@ -71,7 +71,7 @@
   if (static_cast<std::size_t>(votes) < majority || term <= released_term_) {
     return false;
   }
-  if (!HoldsItsTerm(round, primary->first)) {
+  if (!HasCompleteLog(round, primary->first)) {
     return false;
   }
   Renew({term, primary->first, round.started});
--- a/src/group/read_lease.h
+++ b/src/group/read_lease.h
@@ -42,7 +42,8 @@
   RoundNumber StartRound(std::size_t members, common::Instant now);
 
   /// Takes an instance's answer. @return true if the round is confirmed by it.
-  bool Answer(RoundNumber round, const std::string& instance, const model::InstanceStatus& status);
+  bool OnAnswer(RoundNumber round, const std::string& instance,
+                const model::InstanceStatus& status);
 
   /// Takes a confirmation that another daemon vouches for.
   /// @param confirmation with the start on this host's clock, not later than it really was.
@@ -64,17 +65,19 @@
     std::size_t members = 0;
     common::Instant started{0};
     std::map<std::string, model::InstanceStatus> answers;
-    common::Position held;  // that a primary of its term must have reached, when the round started
+    common::Position
+        required_position;  // that a primary of its term must have reached, when the round started
   };
 
-  bool Confirm(const Round& round);
+  bool TryConfirm(const Round& round);
   /// @return true if the primary holds what others of the group have received in its term. One that
   /// has started again under its id may lead on with less.
-  bool HoldsItsTerm(const Round& round, const std::string& primary) const;
+  bool HasCompleteLog(const Round& round, const std::string& primary) const;
 
   Confirmation newest_;
   common::Term released_term_ = 0;
-  common::Position held_;  // highest position heard of an entry of its instance's own term
+  common::Position
+      highest_received_;  // highest position heard of an entry of its instance's own term
   std::map<RoundNumber, Round> rounds_;
   RoundNumber next_round_ = 1;
 };
--- a/src/host/codec.h
+++ b/src/host/codec.h
@@ -116,7 +116,7 @@
 
   /// Reads the configuration as it is now, never from an old state.
   virtual void ReadConfiguration(ConfigurationHandler handler) = 0;
-  virtual void WriteLeadership(const failover::RecordWrite& write, WriteHandler handler) = 0;
+  virtual void WriteLeadership(const failover::ConditionalWrite& write, WriteHandler handler) = 0;
   virtual void WriteDaemon(const model::DaemonEntry& entry, RegisterHandler handler) = 0;
 };
 
--- a/src/metadata/collection_follower.cc
+++ b/src/metadata/collection_follower.cc
@@ -8,56 +8,57 @@
 namespace {
 
 constexpr common::Duration kListTimeout{1'500'000};
-constexpr common::Duration kWatchSlack{700'000};  // a watch's answer may come this much later
+constexpr common::Duration kWatchTimeoutSlack{
+    700'000};  // a watch's answer may come this much later
 /// Lists that may be answered from an old state before one must not be.
-constexpr std::uint32_t kMostOldAnswers = 3;
+constexpr std::uint32_t kMaxStaleLists = 3;
 /// Longest wait of the first watch after a failure: whether the store is back shows soon.
 constexpr common::Duration kFirstWatchWait{500'000};
 /// Longest time between an answer and the next watch for it to go on: longer than any pause between
 /// calls of one that is followed closely.
-constexpr common::Duration kWatchResumed{1'000'000};
+constexpr common::Duration kMaxWatchGap{1'000'000};
 /// Time for a watch to bring what was there before it began, if it began from an old state.
-constexpr common::Duration kWatchSettled{100'000};
-constexpr common::Duration kOldAnswerPause{300'000};
-constexpr common::Duration kShortestBackoff{100'000};
-constexpr std::uint32_t kMostDoublings = 3;
+constexpr common::Duration kWatchSettleTime{100'000};
+constexpr common::Duration kStaleListPause{300'000};
+constexpr common::Duration kMinBackoff{100'000};
+constexpr std::uint32_t kMaxDoublings = 3;
 /// Changes that come closer than this gather while more follow: a single one is heard at once, the
 /// 990 entries of a start ended 449 watches of each coordinator.
 constexpr common::Duration kBurstGap{400'000};
-constexpr common::Duration kShortestBurstPause{20'000};
-constexpr common::Duration kLongestBurstPause{250'000};
+constexpr common::Duration kMinBurstPause{20'000};
+constexpr common::Duration kMaxBurstPause{250'000};
 
 }  // namespace
 
 std::optional<ReadCall> CollectionFollower::Next(common::Instant now) {
-  if (calling_ || now < not_before_ || !Followed()) {
+  if (call_in_progress_ || now < not_before_ || !IsFollowed()) {
     return std::nullopt;
   }
   if (unconfirmed_until_ && now >= *unconfirmed_until_) {
     unconfirmed_until_.reset();
-    refresh_ = true;
+    refresh_wanted_ = true;
   }
-  if (!revision_ || pace_.on_news || refresh_) {
+  if (!reached_revision_ || pace_.list_on_notification || refresh_wanted_) {
     return NextList(now);
   }
-  calling_ = true;
-  listing_ = false;
-  call_may_be_old_ = false;
-  called_at_ = now;
+  call_in_progress_ = true;
+  call_is_list_ = false;
+  call_allows_stale_ = false;
+  call_sent_at_ = now;
   const common::Duration wait =
       connected_ ? pace_.watch_wait : std::min(pace_.watch_wait, kFirstWatchWait);
-  return ReadCall{collection_, revision_, wait, wait + kWatchSlack};
+  return ReadCall{collection_, reached_revision_, wait, wait + kWatchTimeoutSlack};
 }
 
 bool CollectionFollower::BeginEra(std::uint64_t era) {
-  if (wanted_.era >= era) {
+  if (required_revision_.era >= era) {
     return false;
   }
   // A watch from a revision that the new era gives out a second time would miss what is there.
-  wanted_ = model::FirstOf(era);
-  revision_.reset();
-  old_answers_ = 0;
-  const bool watching = calling_ && !listing_;
+  required_revision_ = model::FirstRevisionOfEra(era);
+  reached_revision_.reset();
+  stale_lists_ = 0;
+  const bool watching = call_in_progress_ && !call_is_list_;
   if (watching) {
     Abandon();
   }
@@ -65,49 +66,51 @@
 }
 
 void CollectionFollower::Refresh() {
-  refresh_ = true;
+  refresh_wanted_ = true;
   if (failures_ == 0) {
     not_before_ = common::Instant(0);
   }
 }
 
-bool CollectionFollower::Watches(common::Instant now) const {
-  const bool closely = pace_.pause == common::Duration(0) && calling_ && !listing_;
+bool CollectionFollower::WatchIsCurrent(common::Instant now) const {
+  const bool closely = pace_.pause == common::Duration(0) && call_in_progress_ && !call_is_list_;
   // A watch that takes up after a rest may have no way to the store any more.
-  const bool goes_on = called_at_ <= answered_at_ + kWatchResumed;
-  return connected_ && closely && goes_on && now >= called_at_ + kWatchSettled;
+  const bool goes_on = call_sent_at_ <= answered_at_ + kMaxWatchGap;
+  return connected_ && closely && goes_on && now >= call_sent_at_ + kWatchSettleTime;
 }
 
 void CollectionFollower::Disconnect() {
-  calling_ = false;
+  call_in_progress_ = false;
   connected_ = false;
 }
 
 std::optional<ReadCall> CollectionFollower::NextList(common::Instant now) {
-  const bool behind = !revision_ || wanted_ > *revision_ || refresh_;
+  const bool behind =
+      !reached_revision_ || required_revision_ > *reached_revision_ || refresh_wanted_;
   const bool due = now >= answered_at_ + pace_.watch_wait;
   if (!behind && !due) {
     return std::nullopt;
   }
-  calling_ = true;
-  listing_ = true;
-  call_is_fresh_ = refresh_;
-  called_at_ = now;
+  call_in_progress_ = true;
+  call_is_list_ = true;
+  call_is_refresh_ = refresh_wanted_;
+  call_sent_at_ = now;
   ReadCall call{collection_, std::nullopt, common::Duration(0), kListTimeout};
   // After a history that is gone an old state would lead there again.
-  call.may_be_old = revision_ ? old_answers_ < kMostOldAnswers : old_first_list_ && !listed_;
-  call.may_be_old = call.may_be_old && !refresh_;
-  call_may_be_old_ = call.may_be_old;
+  call.allow_stale =
+      reached_revision_ ? stale_lists_ < kMaxStaleLists : stale_first_list_allowed_ && !listed_;
+  call.allow_stale = call.allow_stale && !refresh_wanted_;
+  call_allows_stale_ = call.allow_stale;
   return call;
 }
 
-std::vector<CatalogChange> CollectionFollower::Answer(const ReadResult& result, common::Instant now,
-                                                      double jitter) {
-  calling_ = false;
+std::vector<CatalogChange> CollectionFollower::OnAnswer(const ReadResult& result,
+                                                        common::Instant now, double jitter) {
+  call_in_progress_ = false;
   connected_ = result.status == ReadStatus::kOk || result.status == ReadStatus::kHistoryGone;
   if (result.status == ReadStatus::kHistoryGone) {
     BeginEra(result.revision.era);
-    revision_.reset();
+    reached_revision_.reset();
     return {};
   }
   if (!connected_) {
@@ -116,56 +119,56 @@
   }
   failures_ = 0;
   BeginEra(result.revision.era);
-  const bool of_former_era = result.revision.era < wanted_.era;
+  const bool of_former_era = result.revision.era < required_revision_.era;
   // Events say nothing of what the era's history held before.
-  if (of_former_era || (!listing_ && !revision_)) {
-    not_before_ = of_former_era ? now + kOldAnswerPause : not_before_;
+  if (of_former_era || (!call_is_list_ && !reached_revision_)) {
+    not_before_ = of_former_era ? now + kStaleListPause : not_before_;
     return {};
   }
   answered_at_ = now;
-  NoteBurst(result, now);
+  UpdateBurstPause(result, now);
   not_before_ = now + std::max(pace_.pause, burst_pause_);
-  if (!call_may_be_old_) {
-    shown_as_of_ = called_at_;
+  if (!call_allows_stale_) {
+    complete_as_of_ = call_sent_at_;
   }
-  if (listing_) {
-    if (call_is_fresh_) {
-      refresh_ = false;
-      fresh_as_of_ = called_at_;
+  if (call_is_list_) {
+    if (call_is_refresh_) {
+      refresh_wanted_ = false;
+      refreshed_as_of_ = call_sent_at_;
     }
-    return TakeList(result, now);
+    return HandleList(result, now);
   }
-  revision_ = result.revision;
+  reached_revision_ = result.revision;
   return ApplyEvents(result);
 }
 
-std::vector<CatalogChange> CollectionFollower::TakeList(const ReadResult& result,
-                                                        common::Instant now) {
-  const bool older = revision_ && result.revision < *revision_;
-  const bool enough = !older && result.revision >= wanted_;
-  old_answers_ = enough ? 0 : old_answers_ + 1;
+std::vector<CatalogChange> CollectionFollower::HandleList(const ReadResult& result,
+                                                          common::Instant now) {
+  const bool older = reached_revision_ && result.revision < *reached_revision_;
+  const bool enough = !older && result.revision >= required_revision_;
+  stale_lists_ = enough ? 0 : stale_lists_ + 1;
   if (!enough) {
-    not_before_ = std::max(not_before_, now + kOldAnswerPause);
+    not_before_ = std::max(not_before_, now + kStaleListPause);
   }
   if (older) {
     return {};
   }
-  revision_ = result.revision;
+  reached_revision_ = result.revision;
   return ApplyList(result, now);
 }
 
-void CollectionFollower::NoteBurst(const ReadResult& result, common::Instant now) {
-  if (listing_ || result.objects.empty()) {
+void CollectionFollower::UpdateBurstPause(const ReadResult& result, common::Instant now) {
+  if (call_is_list_ || result.objects.empty()) {
     return;
   }
-  const bool goes_on = changed_at_ && now < *changed_at_ + kBurstGap;
-  burst_pause_ = goes_on ? std::clamp(burst_pause_ * 2, kShortestBurstPause, kLongestBurstPause)
-                         : common::Duration(0);
-  changed_at_ = now;
+  const bool goes_on = last_change_at_ && now < *last_change_at_ + kBurstGap;
+  burst_pause_ =
+      goes_on ? std::clamp(burst_pause_ * 2, kMinBurstPause, kMaxBurstPause) : common::Duration(0);
+  last_change_at_ = now;
 }
 
 void CollectionFollower::BackOff(common::Instant now, double jitter) {
-  const common::Duration backoff = kShortestBackoff * (1U << std::min(failures_, kMostDoublings));
+  const common::Duration backoff = kMinBackoff * (1U << std::min(failures_, kMaxDoublings));
   const auto spread = static_cast<std::int64_t>(jitter * static_cast<double>(backoff.count()));
   not_before_ = now + backoff / 2 + common::Duration(spread);
   ++failures_;
@@ -177,18 +180,18 @@
   std::map<std::string, model::Revision> listed;
   for (const model::CatalogObject& object : result.objects) {
     listed[object.name] = object.revision;
-    const auto known = known_.find(object.name);
-    if (known == known_.end() || known->second < object.revision) {
+    const auto known = revisions_.find(object.name);
+    if (known == revisions_.end() || known->second < object.revision) {
       changes.push_back({object});
     }
   }
   KeepUnconfirmed(result, now, listed);
-  for (const auto& [name, revision] : known_) {
+  for (const auto& [name, revision] : revisions_) {
     if (!listed.contains(name)) {
       changes.push_back({{name, result.revision, true, std::monostate()}});
     }
   }
-  known_ = std::move(listed);
+  revisions_ = std::move(listed);
   listed_ = true;
   return changes;
 }
@@ -198,13 +201,13 @@
   const bool begins = listed_ && result.revision.era > listed_era_;
   listed_era_ = result.revision.era;
   if (begins) {
-    unconfirmed_until_ = now + kWrittenAgain;
+    unconfirmed_until_ = now + kRewriteGracePeriod;
   }
   if (!unconfirmed_until_ || now >= *unconfirmed_until_) {
     return;
   }
   bool kept = false;
-  for (const auto& [name, revision] : known_) {
+  for (const auto& [name, revision] : revisions_) {
     const bool earlier = revision.era < result.revision.era;
     kept = (earlier && listed.emplace(name, revision).second) || kept;
   }
@@ -216,15 +219,16 @@
 std::vector<CatalogChange> CollectionFollower::ApplyEvents(const ReadResult& result) {
   std::vector<CatalogChange> changes;
   for (const model::CatalogObject& object : result.objects) {
-    const auto known = known_.find(object.name);
-    const bool older = known != known_.end() && known->second >= object.revision && !object.gone;
+    const auto known = revisions_.find(object.name);
+    const bool older =
+        known != revisions_.end() && known->second >= object.revision && !object.deleted;
     if (older) {
       continue;
     }
-    if (object.gone) {
-      known_.erase(object.name);
+    if (object.deleted) {
+      revisions_.erase(object.name);
     } else {
-      known_[object.name] = object.revision;
+      revisions_[object.name] = object.revision;
     }
     changes.push_back({object});
   }
--- a/src/metadata/store_era.h
+++ b/src/metadata/store_era.h
@@ -11,20 +11,20 @@
 
 /// After the store returned from an older copy: time for operators and instances to write again
 /// what they had written (the platform names two seconds), and a part for the way.
-inline constexpr common::Duration kWrittenAgain{2'500'000};
+inline constexpr common::Duration kRewriteGracePeriod{2'500'000};
 
 class StoreEra {
  public:
   /// @return true if the era is later than the newest known one.
-  bool Note(std::uint64_t era, common::Instant now) {
+  bool RecordEra(std::uint64_t era, common::Instant now) {
     if (era <= newest_) {
       return false;
     }
-    const bool returned = newest_ != 0;
+    const bool restored = newest_ != 0;
     newest_ = era;
-    returns_ += returned ? 1 : 0;
-    settled_from_ = now + kWrittenAgain;
-    complete_from_ = returned ? settled_from_ : complete_from_;
+    restore_count_ += restored ? 1 : 0;
+    settled_from_ = now + kRewriteGracePeriod;
+    complete_from_ = restored ? settled_from_ : complete_from_;
     return true;
   }
 
@@ -32,7 +32,7 @@
   std::uint64_t Newest() const { return newest_; }
 
   /// @return how often the store has returned in this life of the daemon.
-  std::uint64_t Returns() const { return returns_; }
+  std::uint64_t RestoreCount() const { return restore_count_; }
 
   /// @return true if what a read that was sent at the instant did not show is not there, either:
   /// before, it may just not have been written again.
@@ -40,13 +40,13 @@
 
   /// @return the instant as of which a read that was sent at the given one shows all that operators
   /// had written. A daemon that has just started can't know whether the store has just returned.
-  common::Instant ShownAsOf(common::Instant asked) const {
-    return asked < settled_from_ ? asked - kWrittenAgain : asked;
+  common::Instant CompleteAsOf(common::Instant asked) const {
+    return asked < settled_from_ ? asked - kRewriteGracePeriod : asked;
   }
 
  private:
   std::uint64_t newest_ = 0;
-  std::uint64_t returns_ = 0;
+  std::uint64_t restore_count_ = 0;
   common::Instant complete_from_{0};
   common::Instant settled_from_{0};
 };
--- a/src/model/catalog.h
+++ b/src/model/catalog.h
@@ -66,11 +66,11 @@
 
 /// One life of an instance. It may start again under its id: then it holds and knows nothing of
 /// before, and what is learned late of the former life says nothing of the new one.
-struct InstanceLife {
+struct InstanceIncarnation {
   std::string id;
   std::uint64_t incarnation = 0;  // another with each start; 0 if the instance doesn't tell
 
-  bool operator==(const InstanceLife&) const = default;
+  bool operator==(const InstanceIncarnation&) const = default;
 };
 
 /// An instance as it announces itself.
@@ -86,10 +86,10 @@
   std::uint64_t incarnation = 0;     // see InstanceLife
   std::uint64_t sequence = 0;        // counts what the instance has written in this life
 
-  InstanceLife Life() const { return {this->id, this->incarnation}; }
+  InstanceIncarnation Identity() const { return {this->id, this->incarnation}; }
 
   /// @return true if the other entry tells the same, written earlier or later.
-  bool TellsSameAs(const InstanceEntry& other) const {
+  bool EqualsIgnoringSequence(const InstanceEntry& other) const {
     InstanceEntry same = other;
     same.sequence = this->sequence;
     return *this == same;
@@ -163,7 +163,7 @@
 struct CatalogObject {
   std::string name;
   Revision revision;
-  bool gone = false;
+  bool deleted = false;
   CatalogPayload payload;
 };
 
--- a/src/model/reply.cc
+++ b/src/model/reply.cc
@@ -2,7 +2,7 @@
 
 namespace valvekeel::model {
 
-bool PromisesNothingKept(ErrorCode code) {
+bool GuaranteesNoEffect(ErrorCode code) {
   switch (code) {
     case ErrorCode::kBusy:
     case ErrorCode::kAborted:
--- a/src/model/reply.h
+++ b/src/model/reply.h
@@ -32,7 +32,7 @@
 };
 
 /// @return true if the code promises that nothing of the request is kept.
-bool PromisesNothingKept(ErrorCode code);
+bool GuaranteesNoEffect(ErrorCode code);
 
 /// @return the code's name in logs and metrics.
 const char* ErrorCodeName(ErrorCode code);
--- a/src/model/revision.h
+++ b/src/model/revision.h
@@ -25,7 +25,7 @@
 };
 
 /// @return the first of an era's revisions: newer than any of an earlier era.
-constexpr Revision FirstOf(std::uint64_t era) { return {0, era}; }
+constexpr Revision FirstRevisionOfEra(std::uint64_t era) { return {0, era}; }
 
 /// @return "ERA.NUMBER", or the number alone without an era, for logs.
 inline std::string RevisionText(const Revision& revision) {
--- a/src/pool/instance_pool.h
+++ b/src/pool/instance_pool.h
@@ -166,7 +166,7 @@
                                            bool already_recorded, common::Instant deadline);
   asio::awaitable<BatchReply> ExecuteAdmitted(SessionKey session, const BatchRequest& request,
                                               common::Instant deadline);
-  asio::awaitable<confirmation::Verdict> Confirm(common::Position position, bool position_needed,
+  asio::awaitable<confirmation::Outcome> Confirm(common::Position position, bool position_needed,
                                                  common::Duration limit);
   void Settle(const std::vector<confirmation::Resolution>& resolutions);
   void Observe(const monitor::Observation& observation);
@@ -218,7 +218,7 @@
 
   confirmation::MajorityConfirmation confirmation_{1};
   confirmation::PendingNumber next_pending_ = 1;
-  std::map<confirmation::PendingNumber, std::pair<WaiterPointer, confirmation::Verdict>>
+  std::map<confirmation::PendingNumber, std::pair<WaiterPointer, confirmation::Outcome>>
       confirming_;
   std::map<std::string, WaiterPointer> confirmers_;  // by peer instance; wakes its coroutine
 };
--- a/src/pool/instance_pool_commit.cc
+++ b/src/pool/instance_pool_commit.cc
@@ -126,7 +126,7 @@
       co_return;
     }
     Settle(confirmation_.Expire(SteadyNow()));
-    if (!confirmation_.WantsProbe(peer)) {
+    if (!confirmation_.NeedsProbe(peer)) {
       confirmers_[peer] = std::make_shared<Waiter>(loop_);
       co_await WaitOn(confirmers_[peer], kLongestWait);
       continue;
@@ -140,10 +140,10 @@
       }
       continue;
     }
-    const confirmation::ProbeNumber probe = confirmation_.ProbeSent(peer);
+    const confirmation::ProbeNumber probe = confirmation_.StartProbe(peer);
     const auto answered = co_await ProbeInTime(connection);
     if (!IsOk(answered)) {
-      confirmation_.ProbeFailed(probe);
+      confirmation_.OnProbeFailed(probe);
       continue;
     }
     const monitor::Observation& answer = ValueOf(answered);
@@ -151,8 +151,8 @@
       // The new primary itself; no need to wait for its own owner's next probe.
       on_topology_(database_, peer, answer);
     }
-    Settle(confirmation_.ProbeAnswered(probe, {answer.term, answer.received}));
-    if (confirmation_.WantsProbe(peer)) {
+    Settle(confirmation_.OnProbeAnswer(probe, {answer.term, answer.received}));
+    if (confirmation_.NeedsProbe(peer)) {
       co_await WaitOn(std::make_shared<Waiter>(loop_), settings_.confirm_pause);
     }
   }
@@ -164,24 +164,24 @@
     if (found == confirming_.end()) {
       continue;
     }
-    counters_.superseded += resolution.verdict == confirmation::Verdict::kSuperseded ? 1 : 0;
-    found->second.second = resolution.verdict;
+    counters_.superseded += resolution.outcome == confirmation::Outcome::kSuperseded ? 1 : 0;
+    found->second.second = resolution.outcome;
     Wake(found->second.first, false);
   }
 }
 
-awaitable<confirmation::Verdict> InstancePool::Confirm(common::Position position,
+awaitable<confirmation::Outcome> InstancePool::Confirm(common::Position position,
                                                        bool position_needed, Duration limit) {
   const confirmation::PendingNumber number = next_pending_++;
   const auto waiter = std::make_shared<Waiter>(loop_);
-  confirming_[number] = {waiter, confirmation::Verdict::kTimedOut};
+  confirming_[number] = {waiter, confirmation::Outcome::kTimedOut};
   Settle(confirmation_.Add(number, position, position_needed, SteadyNow() + limit));
   for (const auto& [peer, confirmer] : confirmers_) {
     Wake(confirmer, false);
   }
   co_await WaitOn(waiter, limit);
   Settle(confirmation_.Expire(SteadyNow()));
-  const confirmation::Verdict verdict = confirming_[number].second;
+  const confirmation::Outcome verdict = confirming_[number].second;
   confirming_.erase(number);
   co_return verdict;
 }
@@ -219,7 +219,7 @@
   reply.position = *position;
   const auto verdict = co_await Confirm(
       reply.position, false, std::min(settings_.confirm_timeout, Duration{request.budget_us}));
-  reply.confirmed = verdict == confirmation::Verdict::kConfirmed;
+  reply.confirmed = verdict == confirmation::Outcome::kConfirmed;
   reply.reason = reply.confirmed ? "" : "no majority confirmed the primary's term";
   co_return reply;
 }
--- a/src/proxy/actions.h
+++ b/src/proxy/actions.h
@@ -106,7 +106,7 @@
 
 struct WriteLeadership {
   CallNumber call = 0;
-  failover::RecordWrite write;
+  failover::ConditionalWrite write;
 };
 
 /// Asks for the leadership record as it is now.
--- a/src/proxy/catalog_state.cc
+++ b/src/proxy/catalog_state.cc
@@ -55,7 +55,7 @@
   }
   for (const Collection collection :
        {Collection::kConfiguration, Collection::kInstances, Collection::kDaemons}) {
-    followers_.at(collection).AllowOldFirstList();
+    followers_.at(collection).AllowStaleFirstList();
   }
   // Only who replaces primaries needs the record; the roles are not known yet.
   followers_.at(Collection::kLeadership)
@@ -76,8 +76,8 @@
   if (std::exchange(started_, true) || !settings_.first_start) {
     return;
   }
-  followers_.at(Collection::kDaemons).NotBefore(now + kFirstDaemonsDelay);
-  followers_.at(Collection::kConfiguration).NotBefore(now + kFirstConfigurationDelay);
+  followers_.at(Collection::kDaemons).DelayCallsUntil(now + kFirstDaemonsDelay);
+  followers_.at(Collection::kConfiguration).DelayCallsUntil(now + kFirstConfigurationDelay);
 }
 
 void CatalogState::SetInterest(const Interest& interest) {
@@ -148,8 +148,9 @@
   if (result.status != metadata::ReadStatus::kOk) {
     return;
   }
-  const bool removed = std::any_of(result.objects.begin(), result.objects.end(),
-                                   [](const model::CatalogObject& object) { return object.gone; });
+  const bool removed =
+      std::any_of(result.objects.begin(), result.objects.end(),
+                  [](const model::CatalogObject& object) { return object.deleted; });
   if (collection == Collection::kConfiguration) {
     seen_.configuration = std::max(seen_.configuration, result.revision);
   } else if (collection == Collection::kInstances) {
@@ -161,14 +162,14 @@
 
 CatalogRevisions CatalogState::Revisions() const {
   // The era alone is news: who hears of it lists anew.
-  const model::Revision first = model::FirstOf(era_.Newest());
+  const model::Revision first = model::FirstRevisionOfEra(era_.Newest());
   return {std::max({known_.configuration, elsewhere_.configuration, first}),
           std::max({known_.instances, elsewhere_.instances, first})};
 }
 
 bool CatalogState::Behind() const {
-  const bool instances = followers_.at(Collection::kInstances).Followed();
-  const bool configuration = followers_.at(Collection::kConfiguration).Followed();
+  const bool instances = followers_.at(Collection::kInstances).IsFollowed();
+  const bool configuration = followers_.at(Collection::kConfiguration).IsFollowed();
   return (configuration &&
           std::max(known_.configuration, seen_.configuration) < elsewhere_.configuration) ||
          (instances && std::max(known_.instances, seen_.instances) < elsewhere_.instances);
@@ -178,8 +179,8 @@
   NoteEra(std::max(revisions.configuration.era, revisions.instances.era), "daemon", now);
   elsewhere_.configuration = std::max(elsewhere_.configuration, revisions.configuration);
   elsewhere_.instances = std::max(elsewhere_.instances, revisions.instances);
-  followers_.at(Collection::kConfiguration).NoteNews(elsewhere_.configuration);
-  followers_.at(Collection::kInstances).NoteNews(elsewhere_.instances);
+  followers_.at(Collection::kConfiguration).RecordRevision(elsewhere_.configuration);
+  followers_.at(Collection::kInstances).RecordRevision(elsewhere_.instances);
   if (!Behind()) {
     behind_since_.reset();
     return;
@@ -211,14 +212,14 @@
 bool CatalogState::DaemonsListed() const { return followers_.at(Collection::kDaemons).Listed(); }
 
 void CatalogState::RefreshInstances(common::Instant now) {
-  if (!followers_.at(Collection::kInstances).Watches(now)) {
+  if (!followers_.at(Collection::kInstances).WatchIsCurrent(now)) {
     RelistInstances();
   }
 }
 
 void CatalogState::RelistInstances() {
   metadata::CollectionFollower& instances = followers_.at(Collection::kInstances);
-  if (instances.Refreshing() || !instances.Followed()) {
+  if (instances.Refreshing() || !instances.IsFollowed()) {
     return;
   }
   // A watch that waits for news would be in the way.
@@ -229,7 +230,7 @@
 
 std::optional<common::Instant> CatalogState::InstancesFreshAsOf(common::Instant now) const {
   const metadata::CollectionFollower& instances = followers_.at(Collection::kInstances);
-  return instances.Watches(now) ? now : instances.FreshAsOf();
+  return instances.WatchIsCurrent(now) ? now : instances.FreshAsOf();
 }
 
 void CatalogState::Tick(common::Instant now) {
@@ -258,13 +259,13 @@
   NoteEra(result.revision.era, "store", now);
   metadata::CollectionFollower& follower = followers_.at(collection);
   const bool was_listed = follower.Listed();
-  for (const metadata::CatalogChange& change : follower.Answer(result, now, jitter)) {
+  for (const metadata::CatalogChange& change : follower.OnAnswer(result, now, jitter)) {
     Apply(change.object, collection, now, update);
   }
   const bool first_list = follower.Listed() && !was_listed;
   const bool listed = !answered_call.watch && result.status == metadata::ReadStatus::kOk;
   if (listed && collection == Collection::kLeadership && !update.leadership) {
-    update.leadership = {model::LeadershipRecord{}, model::FirstOf(result.revision.era)};
+    update.leadership = {model::LeadershipRecord{}, model::FirstRevisionOfEra(result.revision.era)};
   }
   if (first_list && collection == Collection::kInstances) {
     DropUnlisted(result, update);
@@ -277,7 +278,7 @@
   if (result.status != metadata::ReadStatus::kOk) {
     LogFailure(answered_call, result, now);
   }
-  for (std::size_t unnamed = 0; unnamed < result.unnamed; ++unnamed) {
+  for (std::size_t unnamed = 0; unnamed < result.unreadable_names; ++unnamed) {
     NoteUnusable("no_name", "");
   }
   NoteSeen(collection, result);
@@ -299,7 +300,7 @@
 void CatalogState::NoteEra(std::uint64_t era, const char* source, common::Instant now) {
   const CatalogRevisions known = Revisions();
   const std::uint64_t before = era_.Newest();
-  if (!era_.Note(era, now)) {
+  if (!era_.RecordEra(era, now)) {
     return;
   }
   outbox_.Log("store_era_changed",
@@ -337,8 +338,8 @@
   const metadata::CollectionFollower& configuration = followers_.at(Collection::kConfiguration);
   // Who makes no calls counts as connected until one of its calls shows otherwise: it may be chosen
   // to make them.
-  const bool connected = (configuration.Connected() || !configuration.Followed()) &&
-                         (instances.Connected() || !instances.Followed()) &&
+  const bool connected = (configuration.Connected() || !configuration.IsFollowed()) &&
+                         (instances.Connected() || !instances.IsFollowed()) &&
                          failed_probes_ < kLostProbes;
   if (connected != connected_) {
     connected_ = connected;
@@ -350,13 +351,13 @@
 void CatalogState::Apply(const model::CatalogObject& object, Collection collection,
                          common::Instant now, CatalogUpdate& update) {
   // What a list no longer holds comes with the list's revision, which others need not know.
-  if (collection == Collection::kConfiguration && !object.gone) {
+  if (collection == Collection::kConfiguration && !object.deleted) {
     known_.configuration = std::max(known_.configuration, object.revision);
   }
-  if (collection == Collection::kInstances && !object.gone) {
+  if (collection == Collection::kInstances && !object.deleted) {
     known_.instances = std::max(known_.instances, object.revision);
   }
-  if (object.gone) {
+  if (object.deleted) {
     if (collection == Collection::kInstances) {
       DropInstance(object.name, update);
     }
@@ -396,7 +397,7 @@
 void CatalogState::ApplyInstance(const model::InstanceEntry& entry, common::Instant now,
                                  CatalogUpdate& update) {
   const auto known = instances_.find(entry.id);
-  if (known != instances_.end() && known->second.Life() == entry.Life()) {
+  if (known != instances_.end() && known->second.Identity() == entry.Identity()) {
     // A store that has just returned may show what the instance said before, such as that it does
     // not drain. Else the store's order counts: another writer's number must not shut it out.
     const bool earlier = entry.incarnation != 0 && entry.sequence < known->second.sequence;
@@ -404,7 +405,7 @@
       return;
     }
     // A later era lists all entries anew: what says nothing new is no news.
-    if (known->second.TellsSameAs(entry)) {
+    if (known->second.EqualsIgnoringSequence(entry)) {
       known->second.sequence = entry.sequence;
       return;
     }
--- a/src/proxy/catalog_state.h
+++ b/src/proxy/catalog_state.h
@@ -85,7 +85,7 @@
 
   /// @return the instant as of which an answer of the store has shown all instances.
   std::optional<common::Instant> InstancesShownAsOf() const {
-    return followers_.at(model::Collection::kInstances).ShownAsOf();
+    return followers_.at(model::Collection::kInstances).CompleteAsOf();
   }
 
   /// @return the instant as of which all instances are known, at the earliest.
@@ -110,13 +110,13 @@
   std::uint64_t Era() const { return era_.Newest(); }
 
   /// @return how often a later era was met than the one before.
-  std::uint64_t EraChanges() const { return era_.Returns(); }
+  std::uint64_t EraChanges() const { return era_.RestoreCount(); }
 
   /// @return true if what a read that was sent at the instant did not show is not there, either.
   bool IsComplete(common::Instant asked) const { return era_.IsComplete(asked); }
 
   /// @return the instant as of which a read that was sent at the given one shows all there was.
-  common::Instant ShownAsOf(common::Instant asked) const { return era_.ShownAsOf(asked); }
+  common::Instant ShownAsOf(common::Instant asked) const { return era_.CompleteAsOf(asked); }
 
   /// @return true if the daemon's entry was seen in the store's present history.
   bool ListsDaemon(const std::string& name) const;
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -343,7 +343,7 @@
     SendStatement(session, backend, connection, now);
     return;
   }
-  if (operation.preparations > 0 || !model::PromisesNothingKept(reply.error)) {
+  if (operation.preparations > 0 || !model::GuaranteesNoEffect(reply.error)) {
     // The connection's state is not known: what it stands for ends with it.
     outbox_.Log("preparation_failed",
                 {{"request", operation.caller.request_id},
@@ -414,7 +414,7 @@
     groups_.Get(operation.route.service, now).round_at = common::Instant(0);
   }
   const bool first = !session.transaction.open || !session.transaction.ran;
-  if (first && model::PromisesNothingKept(code) && operation.attempts < kMostAttempts) {
+  if (first && model::GuaranteesNoEffect(code) && operation.attempts < kMostAttempts) {
     ++counters_.retries;
     if (code != model::ErrorCode::kLagging) {
       outbox_.Log("request_retried", {{"request", operation.caller.request_id},
--- a/src/proxy/failover_driver.cc
+++ b/src/proxy/failover_driver.cc
@@ -56,7 +56,7 @@
 void FailoverDriver::RecordSeen(const model::LeadershipRecord& record,
                                 const model::Revision& revision, common::Instant now) {
   const std::string before = leadership_.Holder();
-  leadership_.Seen(record, revision, now);
+  leadership_.OnRecordRead(record, revision, now);
   if (leadership_.Holder() != before) {
     outbox_.Log("leader_changed", {{"holder", leadership_.Holder()},
                                    {"token", std::to_string(record.token)},
@@ -67,7 +67,7 @@
 void FailoverDriver::MemberRestarted(const model::InstanceEntry& entry, common::Instant now) {
   const auto attempt = attempts_.find(entry.service);
   if (attempt != attempts_.end()) {
-    attempt->second->MemberRestarted(entry.id, now);
+    attempt->second->OnMemberRestarted(entry.id, now);
   }
 }
 
@@ -79,14 +79,14 @@
   }
   const std::string service = write->second;
   record_writes_.erase(write);
-  const bool held = leadership_.Written(result, now);
+  const bool held = leadership_.OnWriteResult(result, now);
   outbox_.Log("leadership_written", {{"service", service},
                                      {"held", held ? "true" : "false"},
                                      {"token", std::to_string(leadership_.Record().token)},
                                      {"status", std::to_string(static_cast<int>(result.status))}});
   const auto attempt = attempts_.find(service);
   if (attempt != attempts_.end()) {
-    attempt->second->RecordWritten(held);
+    attempt->second->OnRecordWritten(held);
   }
 }
 
@@ -102,7 +102,7 @@
               {{"service", service}, {"status", std::to_string(static_cast<int>(status))}});
   const auto attempt = attempts_.find(service);
   if (attempt != attempts_.end()) {
-    attempt->second->PromotionAnswered(status);
+    attempt->second->OnPromotionAnswer(status);
   }
   static_cast<void>(now);
 }
@@ -209,11 +209,11 @@
                             access_.judge_leader(backend.Entry(), now).fitness});
   }
   view.one_fence_is_enough = !settings_.mechanisms.enough_fences;
-  view.floor = group.floor;
+  view.minimum_position = group.floor;
   view.lost_logs = group.lost_logs.size();
-  view.known_replicas = KnownReplicas(group.service, now);
-  view.unreleased = Unreleased(group.service, registered, new_term, now);
-  view.better_than = need.better_than;
+  view.reported_replicas = KnownReplicas(group.service, now);
+  view.unreleased_daemons = Unreleased(group.service, registered, new_term, now);
+  view.fitness_to_exceed = need.better_than;
   return view;
 }
 
@@ -298,7 +298,7 @@
       continue;
     }
     const failover::GroupView view = ViewOf(*group, service, registered, 0, need, now);
-    if (!failover::Attempt::Feasible(view)) {
+    if (!failover::Attempt::IsFeasible(view)) {
       not_before_[name] = now + kInfeasiblePause;
       TellInfeasible(view, need.reason);
       continue;
@@ -313,10 +313,10 @@
 }
 
 void FailoverDriver::TellInfeasible(const failover::GroupView& view, const std::string& reason) {
-  const failover::FenceCount fences = failover::Attempt::FencesOf(view);
+  const failover::FenceCount fences = failover::Attempt::CountFences(view);
   std::string away;
   for (const failover::MemberView& member : view.members) {
-    if (member.id != view.primary && !member.departed && !member.reachable) {
+    if (member.id != view.primary && !member.terminated && !member.reachable) {
       away += (away.empty() ? "" : " ") + member.id;
     }
   }
@@ -328,7 +328,7 @@
                {"fences_needed", std::to_string(fences.needed)},
                {"reachable", std::to_string(fences.reachable)},
                {"replicas", std::to_string(fences.replicas)},
-               {"known", std::to_string(view.known_replicas)},
+               {"known", std::to_string(view.reported_replicas)},
                {"lost_logs", std::to_string(view.lost_logs)},
                {"away", away}},
               LogLevel::kWarning);
@@ -341,12 +341,12 @@
   // The lease is held by a majority's word although the record does not renew it, and nobody can
   // act on the entry any more: the replacement never came about.
   const bool certain =
-      stale && group.lease.Holds(now) && leadership_.Settled(now) && store_connected_;
+      stale && group.lease.Holds(now) && leadership_.LastWriteExpired(now) && store_connected_;
   if (certain && leadership_.MayWrite(now) && groups_.IsProber(group.service)) {
     outbox_.Log("failover_entry_dropped", {{"service", group.service}});
     // All earlier terms stay replaced: daemons cut off since may still hold one.
     const model::AttemptRecord earlier{group.lease.Newest().term - 1, ""};
-    Do(group, failover::WriteRecord{leadership_.Prepare(group.service, earlier, now)}, now);
+    Do(group, failover::WriteRecord{leadership_.PrepareWrite(group.service, earlier, now)}, now);
   }
 }
 
@@ -411,13 +411,13 @@
     }
     const auto attempt = attempts_.find(service);
     if (attempt != attempts_.end()) {
-      attempt->second->ControlAnswered(action.instance, action.request, status, at);
+      attempt->second->OnControlAnswer(action.instance, action.request, status, at);
     }
   };
   backends_.Control(action.instance, action.request, answered, now);
 }
 
-void FailoverDriver::Do(GroupState& group, const failover::AnnounceFence& action,
+void FailoverDriver::Do(GroupState& group, const failover::RequestLeaseRelease& action,
                         common::Instant now) {
   group.fence_below = action.replaced_term + 1;
   groups_.ReleaseBelow(group, group.fence_below);
@@ -441,7 +441,7 @@
   static_cast<void>(now);
 }
 
-void FailoverDriver::Do(GroupState& group, const failover::AttemptNote& action,
+void FailoverDriver::Do(GroupState& group, const failover::AttemptLogEntry& action,
                         common::Instant now) {
   outbox_.Log("failover_step",
               {{"service", group.service}, {"step", action.step}, {"detail", action.detail}});
--- a/src/proxy/failover_driver.h
+++ b/src/proxy/failover_driver.h
@@ -92,10 +92,10 @@
   void Perform(GroupState& group, const std::vector<failover::AttemptAction>& actions,
                common::Instant now);
   void Do(GroupState& group, const failover::SendControl& action, common::Instant now);
-  void Do(GroupState& group, const failover::AnnounceFence& action, common::Instant now);
+  void Do(GroupState& group, const failover::RequestLeaseRelease& action, common::Instant now);
   void Do(GroupState& group, const failover::WriteRecord& action, common::Instant now);
   void Do(GroupState& group, const failover::RequestPromotion& action, common::Instant now);
-  void Do(GroupState& group, const failover::AttemptNote& action, common::Instant now);
+  void Do(GroupState& group, const failover::AttemptLogEntry& action, common::Instant now);
   /// Takes a replacement that never came about out of the leadership record.
   /// Logs which replicas a replacement waits for.
   void TellInfeasible(const failover::GroupView& view, const std::string& reason);
--- a/src/proxy/group_set.cc
+++ b/src/proxy/group_set.cc
@@ -319,7 +319,7 @@
         return;
       }
       const group::Confirmation before = group->lease.Newest();
-      if (group->lease.Answer(round, id, *status)) {
+      if (group->lease.OnAnswer(round, id, *status)) {
         confirmed_ = true;
         if (group->lease.Newest().term > before.term) {
           news_ = true;
--- a/src/proxysim/callers.cc
+++ b/src/proxysim/callers.cc
@@ -236,7 +236,7 @@
   }
   const model::Command& command = caller->commands[caller->next];
   if (!reply.succeeded) {
-    const bool promised = model::PromisesNothingKept(reply.error);
+    const bool promised = model::GuaranteesNoEffect(reply.error);
     if (promised && caller->writes) {
       cluster_.Record().Refused(caller->attempt);
     }
--- a/src/proxysim/store.cc
+++ b/src/proxysim/store.cc
@@ -237,7 +237,7 @@
   }
 }
 
-failover::WriteResult SimulatedStore::TryWrite(const failover::RecordWrite& write) {
+failover::WriteResult SimulatedStore::TryWrite(const failover::ConditionalWrite& write) {
   failover::WriteResult result;
   const std::string name = LeaderName(write.revision.era);
   auto& records = objects_[Collection::kLeadership];
@@ -258,7 +258,8 @@
   return result;
 }
 
-void SimulatedStore::WriteLeadership(const std::string& daemon, const failover::RecordWrite& write,
+void SimulatedStore::WriteLeadership(const std::string& daemon,
+                                     const failover::ConditionalWrite& write,
                                      const WriteHandler& handler) {
   auto ended = std::make_shared<bool>(false);
   const auto finish = [ended, handler](const failover::WriteResult& result) {
--- a/src/proxysim/store.h
+++ b/src/proxysim/store.h
@@ -42,7 +42,7 @@
   void Delete(model::Collection collection, const std::string& name);
 
   void Read(const std::string& daemon, const metadata::ReadCall& call, const ReadHandler& handler);
-  void WriteLeadership(const std::string& daemon, const failover::RecordWrite& write,
+  void WriteLeadership(const std::string& daemon, const failover::ConditionalWrite& write,
                        const WriteHandler& handler);
 
   /// Reads an era's leadership record. @param handler gets it as of kWritten; kNoAnswer if
@@ -119,7 +119,7 @@
   metadata::ReadResult List(model::Collection collection) const;
   metadata::ReadResult EventsAfter(const metadata::ReadCall& call) const;
   void WakeWatches(model::Collection collection);
-  failover::WriteResult TryWrite(const failover::RecordWrite& write);
+  failover::WriteResult TryWrite(const failover::ConditionalWrite& write);
 
   World& world_;
   std::uint64_t revision_ = 1;
--- a/src/routing/read_write_split.cc
+++ b/src/routing/read_write_split.cc
@@ -14,7 +14,7 @@
 /// Sort key of a replica: lower goes first.
 using Rank = std::tuple<bool, bool, std::uint64_t, bool, bool, std::uint64_t>;
 
-Rank RankOf(const InstanceView& instance, const ReadNeeds& needs, common::Instant now) {
+Rank RankOf(const InstanceView& instance, const ReadRequirements& needs, common::Instant now) {
   const bool avoided = instance.avoid_until > now;
   const bool fresh = common::Covers(instance.replayed, needs.required);
   // Among replicas that are behind, the one seen furthest ahead will be ready first.
@@ -28,7 +28,7 @@
 }  // namespace
 
 std::vector<std::string> ReadWriteSplit::ReadCandidates(const DatabaseView& view,
-                                                        const ReadNeeds& needs,
+                                                        const ReadRequirements& needs,
                                                         common::Instant now) const {
   std::vector<std::pair<Rank, std::string>> replicas;
   for (const InstanceView& instance : view.instances) {
--- a/src/routing/read_write_split.h
+++ b/src/routing/read_write_split.h
@@ -32,7 +32,7 @@
 };
 
 /// What a read needs.
-struct ReadNeeds {
+struct ReadRequirements {
   common::Position required;
   std::string zone;           // of the gateway
   std::string preferred;      // replica that served this session before
@@ -47,7 +47,7 @@
   explicit ReadWriteSplit(ReadPolicy policy) : policy_(policy) {}
 
   /// @return instances to try in order, replicas first and the primary last.
-  std::vector<std::string> ReadCandidates(const DatabaseView& view, const ReadNeeds& needs,
+  std::vector<std::string> ReadCandidates(const DatabaseView& view, const ReadRequirements& needs,
                                           common::Instant now) const;
 
   /// @return the primary, unless it is not known or leaving.
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -15,10 +15,10 @@
       : fraction_(fraction), reserve_(reserve), tokens_(reserve) {}
 
   /// Notes a first attempt.
-  void NoteRequest() { tokens_ = std::min(reserve_, tokens_ + fraction_); }
+  void OnRequest() { tokens_ = std::min(reserve_, tokens_ + fraction_); }
 
   /// @return true if one more retry may be made; it is then counted.
-  bool TakeRetry() {
+  bool ConsumeRetry() {
     if (tokens_ < 1.0) {
       return false;
     }
--- a/tests/confirmation/majority_confirmation_test.cc
+++ b/tests/confirmation/majority_confirmation_test.cc
@@ -12,33 +12,33 @@
 TEST_CASE("A commit is confirmed by a replica that holds it in the same term", "[confirmation]") {
   MajorityConfirmation confirmation(3);
   REQUIRE(confirmation.Add(1, {4, 100}, true, kLater).empty());
-  REQUIRE(confirmation.WantsProbe("1"));
-  const ProbeNumber early = confirmation.ProbeSent("1");
-  CHECK(confirmation.ProbeAnswered(early, {4, 99}).empty());
-  const ProbeNumber probe = confirmation.ProbeSent("1");
-  const auto resolved = confirmation.ProbeAnswered(probe, {4, 100});
+  REQUIRE(confirmation.NeedsProbe("1"));
+  const ProbeNumber early = confirmation.StartProbe("1");
+  CHECK(confirmation.OnProbeAnswer(early, {4, 99}).empty());
+  const ProbeNumber probe = confirmation.StartProbe("1");
+  const auto resolved = confirmation.OnProbeAnswer(probe, {4, 100});
   REQUIRE(resolved.size() == 1);
-  CHECK(resolved[0].verdict == Verdict::kConfirmed);
-  CHECK_FALSE(confirmation.WantsProbe("1"));
+  CHECK(resolved[0].outcome == Outcome::kConfirmed);
+  CHECK_FALSE(confirmation.NeedsProbe("1"));
 }
 
 TEST_CASE("A probe sent before the commit does not vouch for it", "[confirmation]") {
   MajorityConfirmation confirmation(3);
   confirmation.Add(1, {4, 100}, true, kLater);
-  const ProbeNumber probe = confirmation.ProbeSent("1");
+  const ProbeNumber probe = confirmation.StartProbe("1");
   confirmation.Add(2, {4, 90}, true, kLater);
-  const auto resolved = confirmation.ProbeAnswered(probe, {4, 200});
+  const auto resolved = confirmation.OnProbeAnswer(probe, {4, 200});
   REQUIRE(resolved.size() == 1);
   CHECK(resolved[0].number == 1);
-  CHECK(confirmation.WantsProbe("1"));
+  CHECK(confirmation.NeedsProbe("1"));
 }
 
 TEST_CASE("A later term anywhere supersedes the commit", "[confirmation]") {
   MajorityConfirmation confirmation(3);
   confirmation.Add(1, {4, 100}, true, kLater);
-  const auto resolved = confirmation.ProbeAnswered(confirmation.ProbeSent("2"), {5, 500});
+  const auto resolved = confirmation.OnProbeAnswer(confirmation.StartProbe("2"), {5, 500});
   REQUIRE(resolved.size() == 1);
-  CHECK(resolved[0].verdict == Verdict::kSuperseded);
+  CHECK(resolved[0].outcome == Outcome::kSuperseded);
 }
 
 TEST_CASE("One answer confirms every commit before it", "[confirmation]") {
@@ -46,15 +46,15 @@
   for (PendingNumber number = 1; number <= 50; ++number) {
     confirmation.Add(number, {1, number}, true, kLater);
   }
-  CHECK(confirmation.ProbeAnswered(confirmation.ProbeSent("1"), {1, 50}).size() == 50);
+  CHECK(confirmation.OnProbeAnswer(confirmation.StartProbe("1"), {1, 50}).size() == 50);
 }
 
 TEST_CASE("Five instances need two replicas, one instance none", "[confirmation]") {
   MajorityConfirmation five(5);
   five.Add(1, {1, 10}, true, kLater);
-  CHECK(five.ProbeAnswered(five.ProbeSent("1"), {1, 10}).empty());
-  CHECK(five.ProbeAnswered(five.ProbeSent("1"), {1, 10}).empty());
-  CHECK(five.ProbeAnswered(five.ProbeSent("2"), {1, 10}).size() == 1);
+  CHECK(five.OnProbeAnswer(five.StartProbe("1"), {1, 10}).empty());
+  CHECK(five.OnProbeAnswer(five.StartProbe("1"), {1, 10}).empty());
+  CHECK(five.OnProbeAnswer(five.StartProbe("2"), {1, 10}).size() == 1);
   MajorityConfirmation one(1);
   CHECK(one.Add(1, {1, 10}, true, kLater).size() == 1);
 }
@@ -62,12 +62,12 @@
 TEST_CASE("A barrier needs the term only, and time gives up", "[confirmation]") {
   MajorityConfirmation confirmation(3);
   confirmation.Add(1, {2, 100}, false, kLater);
-  CHECK(confirmation.ProbeAnswered(confirmation.ProbeSent("1"), {2, 5}).size() == 1);
+  CHECK(confirmation.OnProbeAnswer(confirmation.StartProbe("1"), {2, 5}).size() == 1);
   confirmation.Add(2, {2, 100}, true, kLater);
   CHECK(confirmation.Expire(kLater - common::Duration{1}).empty());
   const auto expired = confirmation.Expire(kLater);
   REQUIRE(expired.size() == 1);
-  CHECK(expired[0].verdict == Verdict::kTimedOut);
+  CHECK(expired[0].outcome == Outcome::kTimedOut);
 }
 
 }  // namespace valvekeel::confirmation
--- a/tests/failover/attempt_test.cc
+++ b/tests/failover/attempt_test.cc
@@ -26,7 +26,7 @@
     view.members = {{"p", false, false, false, false},
                     {"a", false, true, false, false},
                     {"b", false, true, false, false}};
-    leadership.Seen({}, 0, now);
+    leadership.OnRecordRead({}, 0, now);
   }
 
   /// Advances and answers what can be answered. @return the actions of this step.
@@ -42,15 +42,15 @@
           continue;
         }
         const std::uint64_t revision = ++last_revision;
-        attempt.RecordWritten(
-            leadership.Written({WriteStatus::kWritten, revision, write->write.record}, now));
+        attempt.OnRecordWritten(
+            leadership.OnWriteResult({WriteStatus::kWritten, revision, write->write.record}, now));
       } else if (const auto* control = std::get_if<SendControl>(&action)) {
         controls.push_back(*control);
         Answer(*control);
       } else if (const auto* promotion = std::get_if<RequestPromotion>(&action)) {
         promotions.push_back(*promotion);
-        attempt.PromotionAnswered(promotion_answer);
-      } else if (const auto* fence = std::get_if<AnnounceFence>(&action)) {
+        attempt.OnPromotionAnswer(promotion_answer);
+      } else if (const auto* fence = std::get_if<RequestLeaseRelease>(&action)) {
         announced = fence->replaced_term;
       }
     }
@@ -84,7 +84,7 @@
       status.primary = true;
       status.term = status.term + 1;
     }
-    attempt.ControlAnswered(control.instance, control.request, status, now);
+    attempt.OnControlAnswer(control.instance, control.request, status, now);
   }
 
   static model::InstanceStatus Replica(Position received, common::Term term = 1) {
@@ -146,14 +146,14 @@
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})}};
   fixture.RunFor(Duration(10'000'000));
   CHECK(fixture.promotions.empty());
-  CHECK_FALSE(Attempt::Feasible(fixture.view));
+  CHECK_FALSE(Attempt::IsFeasible(fixture.view));
 }
 
 TEST_CASE("Replicas that only other daemons know count too", "[failover]") {
   AttemptFixture fixture;
   fixture.view.members = {{"p", false, false, false, false}, {"a", false, true, false, false}};
-  fixture.view.known_replicas = 2;
-  CHECK_FALSE(Attempt::Feasible(fixture.view));
+  fixture.view.reported_replicas = 2;
+  CHECK_FALSE(Attempt::IsFeasible(fixture.view));
 }
 
 TEST_CASE("A candidate must hold what replicas that ended may have held alone", "[failover]") {
@@ -161,7 +161,7 @@
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 39})}};
-  fixture.view.floor = Position{1, 40};
+  fixture.view.minimum_position = Position{1, 40};
   fixture.RunFor(Duration(10'000'000));
   CHECK(fixture.promotions.empty());
   CHECK(fixture.attempt.CurrentStep() == Step::kGivenUp);
@@ -171,7 +171,7 @@
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 38})}};
-  fixture.view.unreleased = {"other"};
+  fixture.view.unreleased_daemons = {"other"};
   fixture.RunFor(group::kLeaseTime - Duration(50'000));
   CHECK(fixture.promotions.empty());
   fixture.RunFor(Duration(1'000'000));
@@ -229,8 +229,8 @@
   REQUIRE(fixture.held_record);
   // The write was done, but the daemon stood still before it read the answer.
   fixture.now += Duration(2'000'000);
-  fixture.attempt.RecordWritten(
-      fixture.leadership.Written({WriteStatus::kWritten, 77, *fixture.held_record}, fixture.now));
+  fixture.attempt.OnRecordWritten(fixture.leadership.OnWriteResult(
+      {WriteStatus::kWritten, 77, *fixture.held_record}, fixture.now));
   const auto after = fixture.attempt.Advance(fixture.view, fixture.now);
   for (const AttemptAction& action : after) {
     CHECK_FALSE(std::holds_alternative<RequestPromotion>(action));
@@ -240,8 +240,8 @@
 TEST_CASE("A replica that comes back unfenced is fenced before the promotion", "[failover]") {
   // Found by the simulator, seed 27: it acknowledged commits of the old primary meanwhile.
   AttemptFixture fixture;
-  fixture.view.members[2].departed = true;
-  fixture.view.unreleased = {"other"};
+  fixture.view.members[2].terminated = true;
+  fixture.view.unreleased_daemons = {"other"};
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})}};
   fixture.RunFor(Duration(200'000));
   REQUIRE(fixture.attempt.CurrentStep() == Step::kRelease);
@@ -323,7 +323,7 @@
   fixture.answers["a"] = AttemptFixture::Replica({1, 11});
   fixture.answers["b"] = AttemptFixture::Replica({1, 10});
   fixture.view.members[1].fitness = model::LeaderFitness::kUnfit;
-  fixture.view.better_than = model::LeaderFitness::kUnfit;
+  fixture.view.fitness_to_exceed = model::LeaderFitness::kUnfit;
   fixture.RunFor(std::chrono::seconds(3));
   CHECK(fixture.attempt.CurrentStep() == Step::kGivenUp);
   CHECK(fixture.promotions.empty());
@@ -338,7 +338,8 @@
   record.holder = "other.1";
   record.token = 4;
   record.attempts["group"] = {1, "b"};
-  fixture.leadership.Seen(record, 1, fixture.now - std::chrono::seconds(10));  // long vacant
+  fixture.leadership.OnRecordRead(record, 1,
+                                  fixture.now - std::chrono::seconds(10));  // long vacant
   fixture.last_revision = 1;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})}};
   fixture.RunFor(Duration(10'000'000));
@@ -373,7 +374,7 @@
   earlier.token = 1;
   earlier.sequence = 1;
   earlier.attempts["group"] = {1, "b"};
-  fixture.leadership.Seen(earlier, 7, fixture.now);
+  fixture.leadership.OnRecordRead(earlier, 7, fixture.now);
   fixture.now += std::chrono::seconds(3);
   std::optional<model::LeadershipRecord> claimed;
   for (const AttemptAction& action : fixture.attempt.Advance(fixture.view, fixture.now)) {
@@ -393,7 +394,7 @@
   later.token = 1;
   later.sequence = 1;
   later.attempts["group"] = {2, "b"};
-  fixture.leadership.Seen(later, 7, fixture.now);
+  fixture.leadership.OnRecordRead(later, 7, fixture.now);
   fixture.now += std::chrono::seconds(3);
   std::optional<model::LeadershipRecord> claimed;
   for (const AttemptAction& action : fixture.attempt.Advance(fixture.view, fixture.now)) {
@@ -407,7 +408,7 @@
 
 TEST_CASE("A fenced replica that starts again is fenced and ranked anew", "[failover]") {
   AttemptFixture fixture;
-  fixture.view.unreleased = {"other"};
+  fixture.view.unreleased_daemons = {"other"};
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 90})}};
   while (fixture.attempt.CurrentStep() != Step::kRelease) {
@@ -415,7 +416,7 @@
   }
   REQUIRE(fixture.attempt.Candidate() == "b");
   fixture.answers["b"] = AttemptFixture::Replica({1, 0});
-  fixture.attempt.MemberRestarted("b", fixture.now);
+  fixture.attempt.OnMemberRestarted("b", fixture.now);
   fixture.RunFor(Duration(2'000'000));
   REQUIRE(fixture.promotions.size() == 1);
   CHECK(fixture.promotions[0].candidate == "a");
@@ -431,7 +432,7 @@
     fixture.Step();
   }
   fixture.answers["b"] = AttemptFixture::Replica({1, 0});
-  fixture.attempt.MemberRestarted("b", fixture.now);
+  fixture.attempt.OnMemberRestarted("b", fixture.now);
   fixture.RunFor(Duration(2'000'000));
   REQUIRE(fixture.promotions.size() >= 2);
   CHECK(fixture.promotions[1].candidate == "a");
@@ -443,7 +444,7 @@
   fixture.answers = {{"a", AttemptFixture::Replica({1, 0})},
                      {"b", AttemptFixture::Replica({1, 90})}};
   fixture.view.lost_logs = 1;
-  CHECK_FALSE(Attempt::Feasible(fixture.view));
+  CHECK_FALSE(Attempt::IsFeasible(fixture.view));
   fixture.RunFor(Duration(10'000'000));
   CHECK(fixture.attempt.CurrentStep() == Step::kGivenUp);
   CHECK(fixture.promotions.empty());
--- a/tests/failover/leadership_test.cc
+++ b/tests/failover/leadership_test.cc
@@ -25,12 +25,12 @@
 TEST_CASE("A vacant record is written at once, with the first token", "[failover]") {
   Leadership leadership("me");
   CHECK_FALSE(leadership.MayWrite(kStart));  // not read yet
-  leadership.Seen({}, 0, kStart);
+  leadership.OnRecordRead({}, 0, kStart);
   REQUIRE(leadership.MayWrite(kStart));
-  const RecordWrite write = leadership.Prepare("group", kAttempt, kStart);
+  const ConditionalWrite write = leadership.PrepareWrite("group", kAttempt, kStart);
   CHECK(write.revision == 0);
   CHECK(write.record.token == 1);
-  CHECK(leadership.Written({WriteStatus::kWritten, 5, write.record}, kStart + Duration(9)));
+  CHECK(leadership.OnWriteResult({WriteStatus::kWritten, 5, write.record}, kStart + Duration(9)));
   CHECK(leadership.IsHolder());
   CHECK(leadership.MayActUntil() == kStart + kActionWindow);
 }
@@ -38,10 +38,10 @@
 TEST_CASE("Another holder is replaced only after its record has rested, with a higher token",
           "[failover]") {
   Leadership leadership("me");
-  leadership.Seen(HeldBy("other", 7), 3, kStart);
+  leadership.OnRecordRead(HeldBy("other", 7), 3, kStart);
   CHECK_FALSE(leadership.MayWrite(kStart + kTakeoverTime - Duration(1)));
   REQUIRE(leadership.MayWrite(kStart + kTakeoverTime));
-  CHECK(leadership.Prepare("group", kAttempt, kStart + kTakeoverTime).record.token == 8);
+  CHECK(leadership.PrepareWrite("group", kAttempt, kStart + kTakeoverTime).record.token == 8);
   STATIC_REQUIRE(kActionWindow < kTakeoverTime);
 }
 
@@ -53,36 +53,36 @@
   Leadership leadership("me");
   model::LeadershipRecord former = HeldBy("other", 7);
   former.attempts["begun before"] = {3, "i-1"};
-  leadership.Seen(former, 500, kStart);
+  leadership.OnRecordRead(former, 500, kStart);
   const Instant back = kStart + std::chrono::seconds(10);
-  leadership.Seen({}, {0, 2}, back);
+  leadership.OnRecordRead({}, {0, 2}, back);
   CHECK(leadership.Holder().empty());
   // Whoever wrote in the former era may still act.
   CHECK_FALSE(leadership.MayWrite(back + kTakeoverTime - Duration(1)));
   const Instant settled = back + kTakeoverTime;
   REQUIRE(leadership.MayWrite(settled));
-  const RecordWrite write = leadership.Prepare("group", kAttempt, settled);
+  const ConditionalWrite write = leadership.PrepareWrite("group", kAttempt, settled);
   CHECK(write.record.era == 2);
   CHECK(write.revision == model::Revision(0, 2));
   CHECK(write.record.token > 1'000'000);
   CHECK(write.record.attempts.contains("begun before"));
-  REQUIRE(leadership.Written({WriteStatus::kWritten, {41, 2}, write.record}, settled));
+  REQUIRE(leadership.OnWriteResult({WriteStatus::kWritten, {41, 2}, write.record}, settled));
   CHECK(leadership.IsHolder());
 }
 
 TEST_CASE("Nobody acts on what was written in an earlier era", "[failover]") {
   Leadership leadership("me");
-  leadership.Seen({}, 0, kStart);
-  const RecordWrite write = leadership.Prepare("group", kAttempt, kStart);
+  leadership.OnRecordRead({}, 0, kStart);
+  const ConditionalWrite write = leadership.PrepareWrite("group", kAttempt, kStart);
   SECTION("the answer is of the later era") {
-    CHECK_FALSE(leadership.Written({WriteStatus::kWritten, {5, 2}, write.record}, kStart));
+    CHECK_FALSE(leadership.OnWriteResult({WriteStatus::kWritten, {5, 2}, write.record}, kStart));
   }
   SECTION("the answer comes after the later era was heard of") {
     leadership.BeginEra(2, kStart);
-    CHECK_FALSE(leadership.Written({WriteStatus::kWritten, 5, write.record}, kStart));
+    CHECK_FALSE(leadership.OnWriteResult({WriteStatus::kWritten, 5, write.record}, kStart));
   }
   SECTION("the later era is heard of after the answer") {
-    CHECK(leadership.Written({WriteStatus::kWritten, 5, write.record}, kStart));
+    CHECK(leadership.OnWriteResult({WriteStatus::kWritten, 5, write.record}, kStart));
     leadership.BeginEra(2, kStart);
   }
   CHECK(leadership.MayActUntil() == Instant(0));
@@ -91,27 +91,28 @@
 
 TEST_CASE("A lost answer is recognized by the record itself", "[failover]") {
   Leadership leadership("me");
-  leadership.Seen({}, 0, kStart);
-  const RecordWrite first = leadership.Prepare("group", kAttempt, kStart);
-  CHECK_FALSE(leadership.Written({WriteStatus::kNoAnswer, 0, {}}, kStart + Duration(1)));
+  leadership.OnRecordRead({}, 0, kStart);
+  const ConditionalWrite first = leadership.PrepareWrite("group", kAttempt, kStart);
+  CHECK_FALSE(leadership.OnWriteResult({WriteStatus::kNoAnswer, 0, {}}, kStart + Duration(1)));
   CHECK_FALSE(leadership.IsHolder());
   // It was done after all: the next write meets it.
-  const RecordWrite second = leadership.Prepare("group", kAttempt, kStart + Duration(2));
-  CHECK_FALSE(leadership.Written({WriteStatus::kConflict, 9, first.record}, kStart + Duration(3)));
+  const ConditionalWrite second = leadership.PrepareWrite("group", kAttempt, kStart + Duration(2));
+  CHECK_FALSE(
+      leadership.OnWriteResult({WriteStatus::kConflict, 9, first.record}, kStart + Duration(3)));
   CHECK(leadership.IsHolder());
   CHECK(leadership.MayActUntil() == Instant(0));
-  const RecordWrite third = leadership.Prepare("group", kAttempt, kStart + Duration(4));
+  const ConditionalWrite third = leadership.PrepareWrite("group", kAttempt, kStart + Duration(4));
   CHECK(third.revision == 9);
   CHECK(third.record.token == second.record.token);
-  CHECK(leadership.Written({WriteStatus::kWritten, 10, third.record}, kStart + Duration(5)));
+  CHECK(leadership.OnWriteResult({WriteStatus::kWritten, 10, third.record}, kStart + Duration(5)));
 }
 
 TEST_CASE("A write that met another holder's gives no right to act", "[failover]") {
   Leadership leadership("me");
-  leadership.Seen({}, 0, kStart);
-  leadership.Prepare("group", kAttempt, kStart);
-  CHECK_FALSE(
-      leadership.Written({WriteStatus::kConflict, 4, HeldBy("other", 1)}, kStart + Duration(1)));
+  leadership.OnRecordRead({}, 0, kStart);
+  leadership.PrepareWrite("group", kAttempt, kStart);
+  CHECK_FALSE(leadership.OnWriteResult({WriteStatus::kConflict, 4, HeldBy("other", 1)},
+                                       kStart + Duration(1)));
   CHECK_FALSE(leadership.IsHolder());
   CHECK_FALSE(leadership.MayWrite(kStart + Duration(2)));
 }
@@ -120,11 +121,11 @@
   Leadership leadership("me");
   model::LeadershipRecord record = HeldBy("me", 2);
   record.attempts["a"] = {3, "x"};
-  leadership.Seen(record, 1, kStart);
-  const RecordWrite write = leadership.Prepare("b", {1, "y"}, kStart);
+  leadership.OnRecordRead(record, 1, kStart);
+  const ConditionalWrite write = leadership.PrepareWrite("b", {1, "y"}, kStart);
   CHECK(write.record.attempts.size() == 2);
-  leadership.Written({WriteStatus::kWritten, 2, write.record}, kStart);
-  CHECK(leadership.Prepare("a", {}, kStart).record.attempts.count("a") == 0);
+  leadership.OnWriteResult({WriteStatus::kWritten, 2, write.record}, kStart);
+  CHECK(leadership.PrepareWrite("a", {}, kStart).record.attempts.count("a") == 0);
 }
 
 }  // namespace valvekeel::failover
--- a/tests/group/read_lease_test.cc
+++ b/tests/group/read_lease_test.cc
@@ -25,8 +25,8 @@
 ReadLease Confirmed() {
   ReadLease lease;
   const RoundNumber round = lease.StartRound(kThree, kStart);
-  REQUIRE_FALSE(lease.Answer(round, "p", Status(true, 1)));
-  REQUIRE(lease.Answer(round, "a", Status(false, 1)));
+  REQUIRE_FALSE(lease.OnAnswer(round, "p", Status(true, 1)));
+  REQUIRE(lease.OnAnswer(round, "a", Status(false, 1)));
   return lease;
 }
 
@@ -43,19 +43,19 @@
 TEST_CASE("A fenced replica takes its vote from the lease", "[group]") {
   ReadLease lease;
   const RoundNumber round = lease.StartRound(kThree, kStart);
-  CHECK_FALSE(lease.Answer(round, "p", Status(true, 1)));
-  CHECK_FALSE(lease.Answer(round, "a", Status(false, 1, 2)));
-  CHECK(lease.Answer(round, "b", Status(false, 1)));
+  CHECK_FALSE(lease.OnAnswer(round, "p", Status(true, 1)));
+  CHECK_FALSE(lease.OnAnswer(round, "a", Status(false, 1, 2)));
+  CHECK(lease.OnAnswer(round, "b", Status(false, 1)));
 }
 
 TEST_CASE("Replicas alone give no lease, nor does a primary alone", "[group]") {
   ReadLease lease;
   const RoundNumber round = lease.StartRound(kThree, kStart);
-  CHECK_FALSE(lease.Answer(round, "a", Status(false, 1)));
-  CHECK_FALSE(lease.Answer(round, "b", Status(false, 1)));
+  CHECK_FALSE(lease.OnAnswer(round, "a", Status(false, 1)));
+  CHECK_FALSE(lease.OnAnswer(round, "b", Status(false, 1)));
   ReadLease alone;
   const RoundNumber other = alone.StartRound(kThree, kStart);
-  CHECK_FALSE(alone.Answer(other, "p", Status(true, 1)));
+  CHECK_FALSE(alone.OnAnswer(other, "p", Status(true, 1)));
 }
 
 TEST_CASE("A released term never comes back, the next one does", "[group]") {
@@ -85,20 +85,20 @@
   replica.received = {1, 40};
   ReadLease fresh;
   const RoundNumber round = fresh.StartRound(kThree, kStart);
-  CHECK_FALSE(fresh.Answer(round, "p", empty));
-  CHECK_FALSE(fresh.Answer(round, "a", replica));
+  CHECK_FALSE(fresh.OnAnswer(round, "p", empty));
+  CHECK_FALSE(fresh.OnAnswer(round, "a", replica));
 
   // What was heard before a round started holds in it, also if only the primary had it.
   model::InstanceStatus primary = Status(true, 1);
   primary.received = {1, 90};
   ReadLease lease;
   const RoundNumber first = lease.StartRound(kThree, kStart);
-  lease.Answer(first, "p", primary);
-  CHECK(lease.Answer(first, "a", replica));
+  lease.OnAnswer(first, "p", primary);
+  CHECK(lease.OnAnswer(first, "a", replica));
   const RoundNumber second = lease.StartRound(kThree, kStart + common::Duration(1));
   primary.received = {1, 60};
-  CHECK_FALSE(lease.Answer(second, "p", primary));
-  CHECK_FALSE(lease.Answer(second, "a", replica));
+  CHECK_FALSE(lease.OnAnswer(second, "p", primary));
+  CHECK_FALSE(lease.OnAnswer(second, "a", replica));
 }
 
 TEST_CASE("A replica that was ahead of a new primary does not keep the lease from it", "[group]") {
@@ -108,8 +108,8 @@
   model::InstanceStatus promoted = Status(true, 2);
   promoted.received = {1, 60};
   const RoundNumber round = lease.StartRound(kThree, kStart + common::Duration(1));
-  lease.Answer(round, "a", former);
-  CHECK(lease.Answer(round, "b", promoted));
+  lease.OnAnswer(round, "a", former);
+  CHECK(lease.OnAnswer(round, "b", promoted));
 }
 
 TEST_CASE("The lowest position that covers an instant is given", "[group]") {
--- a/tests/host/planned_end_test.cc
+++ b/tests/host/planned_end_test.cc
@@ -85,7 +85,7 @@
   }
   void ReadLeadership(std::uint64_t, LeadershipHandler) override {}
   void ReadConfiguration(ConfigurationHandler) override {}
-  void WriteLeadership(const failover::RecordWrite&, WriteHandler) override {}
+  void WriteLeadership(const failover::ConditionalWrite&, WriteHandler) override {}
   void WriteDaemon(const model::DaemonEntry&, RegisterHandler) override {}
 
  private:
--- a/tests/metadata/collection_follower_test.cc
+++ b/tests/metadata/collection_follower_test.cc
@@ -32,7 +32,7 @@
   REQUIRE(call);
   REQUIRE_FALSE(call->after_revision);
   const auto changes =
-      follower.Answer({ReadStatus::kOk, 10, {Object("a", 3), Object("b", 7)}}, Instant(2), 0);
+      follower.OnAnswer({ReadStatus::kOk, 10, {Object("a", 3), Object("b", 7)}}, Instant(2), 0);
   REQUIRE(changes.size() == 2);
   return follower;
 }
@@ -45,7 +45,7 @@
   REQUIRE(watch);
   CHECK(watch->after_revision == 10);
   CHECK_FALSE(follower.Next(Instant(4)));
-  const auto changes = follower.Answer({ReadStatus::kOk, 12, {Object("a", 12)}}, Instant(5), 0);
+  const auto changes = follower.OnAnswer({ReadStatus::kOk, 12, {Object("a", 12)}}, Instant(5), 0);
   REQUIRE(changes.size() == 1);
   CHECK(follower.Next(Instant(6))->after_revision == 12);
 }
@@ -53,15 +53,15 @@
 TEST_CASE("After a lost history the fresh list shows what has gone meanwhile", "[metadata]") {
   CollectionFollower follower = Listed();
   follower.Next(Instant(3));
-  CHECK(follower.Answer({ReadStatus::kHistoryGone, 0, {}}, Instant(4), 0).empty());
+  CHECK(follower.OnAnswer({ReadStatus::kHistoryGone, 0, {}}, Instant(4), 0).empty());
   CHECK(follower.Connected());
   const auto list = follower.Next(Instant(5));
   REQUIRE(list);
   CHECK_FALSE(list->after_revision);
-  const auto changes = follower.Answer({ReadStatus::kOk, 30, {Object("a", 3)}}, Instant(6), 0);
+  const auto changes = follower.OnAnswer({ReadStatus::kOk, 30, {Object("a", 3)}}, Instant(6), 0);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].object.name == "b");
-  CHECK(changes[0].object.gone);
+  CHECK(changes[0].object.deleted);
 }
 
 TEST_CASE("The first list of a store that returned from an older copy is taken", "[metadata]") {
@@ -70,10 +70,10 @@
   // as an older state of itself.
   CollectionFollower follower = Listed();
   follower.Next(Instant(3));
-  CHECK(follower.Answer({ReadStatus::kHistoryGone, 0, {}}, Instant(4), 0).empty());
+  CHECK(follower.OnAnswer({ReadStatus::kHistoryGone, 0, {}}, Instant(4), 0).empty());
   REQUIRE(follower.Next(Instant(5)));
   const auto changes =
-      follower.Answer(OfEra(1, 8, {Object("a", 3), Object("b", 6)}), Instant(6), 0);
+      follower.OnAnswer(OfEra(1, 8, {Object("a", 3), Object("b", 6)}), Instant(6), 0);
   CHECK(std::any_of(changes.begin(), changes.end(),
                     [](const CatalogChange& change) { return change.object.name == "b"; }));
 }
@@ -83,10 +83,10 @@
   // told of revisions 72 to 74 of the new history, and 74 was known of the former one.
   CollectionFollower follower = Listed();
   follower.SetPace({kWait, Duration(0), true, true});
-  follower.NoteNews(12);
+  follower.RecordRevision(12);
   REQUIRE(follower.Next(Instant(4)));
   const auto changes =
-      follower.Answer(OfEra(1, 8, {Object("a", 3), Object("b", 6)}), Instant(5), 0);
+      follower.OnAnswer(OfEra(1, 8, {Object("a", 3), Object("b", 6)}), Instant(5), 0);
   CHECK(std::any_of(changes.begin(), changes.end(),
                     [](const CatalogChange& change) { return change.object.name == "b"; }));
 }
@@ -95,23 +95,23 @@
   CollectionFollower follower = Listed();
   follower.SetPace({kWait, Duration(0), true, true});
   CHECK_FALSE(follower.Next(Instant(3)));
-  follower.NoteNews(12);
+  follower.RecordRevision(12);
   const auto list = follower.Next(Instant(4));
   REQUIRE(list);
   CHECK_FALSE(list->after_revision);
-  CHECK(list->may_be_old);
+  CHECK(list->allow_stale);
   // An older state tells nothing, not even that something is gone.
-  CHECK(follower.Answer({ReadStatus::kOk, 9, {Object("a", 3)}}, Instant(5), 0).empty());
+  CHECK(follower.OnAnswer({ReadStatus::kOk, 9, {Object("a", 3)}}, Instant(5), 0).empty());
   Instant now(5);
   for (int i = 0; i < 2; ++i) {
     now += kLongest;
-    CHECK(follower.Next(now)->may_be_old);
-    follower.Answer({ReadStatus::kOk, 9, {}}, now, 0);
+    CHECK(follower.Next(now)->allow_stale);
+    follower.OnAnswer({ReadStatus::kOk, 9, {}}, now, 0);
   }
   now += kLongest;
-  CHECK_FALSE(follower.Next(now)->may_be_old);
+  CHECK_FALSE(follower.Next(now)->allow_stale);
   const auto changes =
-      follower.Answer({ReadStatus::kOk, 12, {Object("a", 3), Object("b", 12)}}, now, 0);
+      follower.OnAnswer({ReadStatus::kOk, 12, {Object("a", 3), Object("b", 12)}}, now, 0);
   REQUIRE(changes.size() == 1);
   CHECK(changes[0].object.name == "b");
   CHECK_FALSE(follower.Next(now));
@@ -127,7 +127,7 @@
 TEST_CASE("An older state of an object is never reported", "[metadata]") {
   CollectionFollower follower = Listed();
   follower.Next(Instant(3));
-  CHECK(follower.Answer({ReadStatus::kOk, 12, {Object("b", 5)}}, Instant(4), 0).empty());
+  CHECK(follower.OnAnswer({ReadStatus::kOk, 12, {Object("b", 5)}}, Instant(4), 0).empty());
 }
 
 TEST_CASE("Failures are spread and bounded, and end with the first answer", "[metadata]") {
@@ -135,13 +135,13 @@
   Instant now(3);
   for (int failure = 0; failure < 10; ++failure) {
     REQUIRE(follower.Next(now));
-    follower.Answer({ReadStatus::kRefused, 0, {}}, now, 0.5);
+    follower.OnAnswer({ReadStatus::kRefused, 0, {}}, now, 0.5);
     CHECK_FALSE(follower.Connected());
     CHECK_FALSE(follower.Next(now));
     now += kLongest;
   }
   REQUIRE(follower.Next(now));
-  follower.Answer({ReadStatus::kOk, 11, {}}, now, 0.5);
+  follower.OnAnswer({ReadStatus::kOk, 11, {}}, now, 0.5);
   CHECK(follower.Connected());
   CHECK(follower.Next(now));
 }
@@ -150,7 +150,7 @@
   CollectionFollower follower = Listed();
   follower.SetPace({kWait, Duration(1'000)});
   REQUIRE(follower.Next(Instant(3)));
-  follower.Answer({ReadStatus::kOk, 11, {Object("a", 11)}}, Instant(4), 0);
+  follower.OnAnswer({ReadStatus::kOk, 11, {Object("a", 11)}}, Instant(4), 0);
   CHECK_FALSE(follower.Next(Instant(1'003)));
   CHECK(follower.Next(Instant(1'004)));
 }
@@ -175,15 +175,15 @@
   CollectionFollower follower = Listed();
   follower.SetPace({kWait, kLongest});
   follower.Next(Instant(3));
-  follower.Answer({ReadStatus::kOk, 11, {}}, Instant(4), 0);
+  follower.OnAnswer({ReadStatus::kOk, 11, {}}, Instant(4), 0);
   REQUIRE_FALSE(follower.Next(Instant(5)));  // changes gather
   CHECK_FALSE(follower.FreshAsOf());
   follower.Refresh();
   const auto list = follower.Next(Instant(6));
   REQUIRE(list);
   CHECK_FALSE(list->after_revision);
-  CHECK_FALSE(list->may_be_old);
-  follower.Answer({ReadStatus::kOk, 12, {Object("a", 12)}}, Instant(9), 0);
+  CHECK_FALSE(list->allow_stale);
+  follower.OnAnswer({ReadStatus::kOk, 12, {Object("a", 12)}}, Instant(9), 0);
   CHECK(follower.FreshAsOf() == Instant(6));
   CHECK_FALSE(follower.Refreshing());
   CHECK(follower.Next(Instant(9) + kLongest)->after_revision == 12);
@@ -193,41 +193,41 @@
   CollectionFollower follower = Listed();
   follower.Refresh();
   REQUIRE(follower.Next(Instant(3)));
-  follower.Answer({ReadStatus::kNoAnswer, 0, {}}, Instant(4), 0);
+  follower.OnAnswer({ReadStatus::kNoAnswer, 0, {}}, Instant(4), 0);
   CHECK(follower.Refreshing());
   CHECK_FALSE(follower.FreshAsOf());
   const auto list = follower.Next(Instant(5'000'000));
   REQUIRE(list);
-  CHECK_FALSE(list->may_be_old);
+  CHECK_FALSE(list->allow_stale);
 }
 
 TEST_CASE("A watch shows the present once it could have brought what was missed", "[metadata]") {
   CollectionFollower follower = Listed();
-  CHECK_FALSE(follower.Watches(Instant(3)));
+  CHECK_FALSE(follower.WatchIsCurrent(Instant(3)));
   follower.Next(Instant(3));
-  CHECK_FALSE(follower.Watches(Instant(4)));
-  CHECK(follower.Watches(Instant(500'000)));
+  CHECK_FALSE(follower.WatchIsCurrent(Instant(4)));
+  CHECK(follower.WatchIsCurrent(Instant(500'000)));
   follower.SetPace({kWait, kLongest});
-  CHECK_FALSE(follower.Watches(Instant(500'000)));
+  CHECK_FALSE(follower.WatchIsCurrent(Instant(500'000)));
 }
 
 TEST_CASE("What is shown counts from the sending of the newest answered call", "[metadata]") {
   CollectionFollower follower = Listed();
-  CHECK(follower.ShownAsOf() == Instant(1));
+  CHECK(follower.CompleteAsOf() == Instant(1));
   REQUIRE(follower.Next(Instant(3)));
-  follower.Answer({ReadStatus::kOk, 12, {}}, Instant(900), 0);
-  CHECK(follower.ShownAsOf() == Instant(3));
+  follower.OnAnswer({ReadStatus::kOk, 12, {}}, Instant(900), 0);
+  CHECK(follower.CompleteAsOf() == Instant(3));
   REQUIRE(follower.Next(Instant(901)));
-  follower.Answer({ReadStatus::kNoAnswer, 0, {}}, Instant(2'000), 0);
-  CHECK(follower.ShownAsOf() == Instant(3));
+  follower.OnAnswer({ReadStatus::kNoAnswer, 0, {}}, Instant(2'000), 0);
+  CHECK(follower.CompleteAsOf() == Instant(3));
 }
 
 TEST_CASE("A list that may be old shows nothing", "[metadata]") {
   CollectionFollower follower(Collection::kInstances, kWait);
-  follower.AllowOldFirstList();
+  follower.AllowStaleFirstList();
   REQUIRE(follower.Next(Instant(1)));
-  follower.Answer({ReadStatus::kOk, 10, {}}, Instant(2), 0);
-  CHECK_FALSE(follower.ShownAsOf());
+  follower.OnAnswer({ReadStatus::kOk, 10, {}}, Instant(2), 0);
+  CHECK_FALSE(follower.CompleteAsOf());
 }
 
 TEST_CASE("A watch that takes up after a rest is no sign that the store is reached", "[metadata]") {
@@ -239,10 +239,10 @@
   follower.SetPaused(false);
   const Instant later(60'000'000);
   REQUIRE(follower.Next(later));
-  CHECK_FALSE(follower.Watches(later + Duration(200'000)));
-  follower.Answer({ReadStatus::kOk, 12, {}}, later + Duration(300'000), 0);
+  CHECK_FALSE(follower.WatchIsCurrent(later + Duration(200'000)));
+  follower.OnAnswer({ReadStatus::kOk, 12, {}}, later + Duration(300'000), 0);
   REQUIRE(follower.Next(later + Duration(300'001)));
-  CHECK(follower.Watches(later + Duration(500'000)));
+  CHECK(follower.WatchIsCurrent(later + Duration(500'000)));
 }
 
 TEST_CASE("One change is heard at once, many in a row gather", "[metadata]") {
@@ -257,7 +257,7 @@
     if (follower.Next(now)) {
       ++calls;
       ++revision;
-      follower.Answer({ReadStatus::kOk, revision, {Object("c", revision)}}, now, 0);
+      follower.OnAnswer({ReadStatus::kOk, revision, {Object("c", revision)}}, now, 0);
     }
   }
   CHECK(calls < 50);
@@ -265,7 +265,7 @@
   now += Duration(5'000'000);
   REQUIRE(follower.Next(now));
   ++revision;
-  follower.Answer({ReadStatus::kOk, revision, {Object("c", revision)}}, now, 0);
+  follower.OnAnswer({ReadStatus::kOk, revision, {Object("c", revision)}}, now, 0);
   CHECK(follower.Next(now + Duration(1)));
 }
 
--- a/tests/platform/catalog_translation_test.cc
+++ b/tests/platform/catalog_translation_test.cc
@@ -145,7 +145,7 @@
   CHECK(entry.address == common::Endpoint{"10.128.0.9", 8080});
   CHECK(entry.draining);
   CHECK(entry.primary);
-  CHECK(entry.Life() == model::InstanceLife{"i-1", 1778441011418});
+  CHECK(entry.Identity() == model::InstanceIncarnation{"i-1", 1778441011418});
 }
 
 TEST_CASE("The leadership record comes back as it was written", "[platform]") {
@@ -187,7 +187,7 @@
         model::WarmUp{std::chrono::milliseconds(6500), 8});
   REQUIRE(taken->instances.size() == 1);
   CHECK(taken->instances.front().warm_up_left == std::chrono::milliseconds(1500));
-  CHECK(taken->instances.front().Life() == copy.instances.front().Life());
+  CHECK(taken->instances.front().Identity() == copy.instances.front().Identity());
 }
 
 TEST_CASE("An evacuation is known by its zone, whatever else its object holds",
--- a/tests/proxy/catalog_state_test.cc
+++ b/tests/proxy/catalog_state_test.cc
@@ -95,7 +95,7 @@
   fixture.Answer(Collection::kInstances, {ReadStatus::kHistoryGone, {0, 2}, {}});
   CHECK(
       fixture.Answer(Collection::kInstances, {ReadStatus::kOk, {3, 2}, {}}).instances_gone.empty());
-  fixture.now += metadata::kWrittenAgain;
+  fixture.now += metadata::kRewriteGracePeriod;
   const CatalogUpdate later = fixture.Answer(Collection::kInstances, {ReadStatus::kOk, {3, 2}, {}});
   CHECK(later.instances_gone == std::vector<std::string>{"i-1"});
 }
@@ -301,7 +301,7 @@
   for (const Action& action : fixture.outbox.Take()) {
     const auto* read = std::get_if<ReadCatalog>(&action);
     if (read != nullptr && read->read.collection == Collection::kConfiguration) {
-      first_may_be_old = read->read.may_be_old;
+      first_may_be_old = read->read.allow_stale;
       fixture.calls[Collection::kConfiguration] = read->call;
     }
   }
@@ -314,7 +314,7 @@
     const auto* read = std::get_if<ReadCatalog>(&action);
     if (read != nullptr && read->read.collection == Collection::kConfiguration) {
       CHECK_FALSE(read->read.after_revision);
-      CHECK_FALSE(read->read.may_be_old);
+      CHECK_FALSE(read->read.allow_stale);
       ++lists;
     }
   }
--- a/tests/proxy/configuration_prover_test.cc
+++ b/tests/proxy/configuration_prover_test.cc
@@ -51,8 +51,8 @@
   const Instant returned = kStart + std::chrono::seconds(2);
   fixture.catalog.NoteEra(2, "store", returned);
   CHECK_FALSE(fixture.Proves(returned));
-  CHECK_FALSE(fixture.Proves(returned + Duration(metadata::kWrittenAgain / 2)));
-  CHECK(fixture.Proves(returned + metadata::kWrittenAgain));
+  CHECK_FALSE(fixture.Proves(returned + Duration(metadata::kRewriteGracePeriod / 2)));
+  CHECK(fixture.Proves(returned + metadata::kRewriteGracePeriod));
 }
 
 TEST_CASE("A daemon that has just started takes a read for as old as a return could make it",
@@ -64,9 +64,9 @@
   ProverFixture fixture;
   fixture.catalog.NoteEra(4, "store", kStart);
   REQUIRE(fixture.Proves(kStart));
-  CHECK(fixture.admission.proof().newest()->read_at == kStart - metadata::kWrittenAgain);
-  REQUIRE(fixture.Proves(kStart + metadata::kWrittenAgain));
-  CHECK(fixture.admission.proof().newest()->read_at == kStart + metadata::kWrittenAgain);
+  CHECK(fixture.admission.proof().newest()->read_at == kStart - metadata::kRewriteGracePeriod);
+  REQUIRE(fixture.Proves(kStart + metadata::kRewriteGracePeriod));
+  CHECK(fixture.admission.proof().newest()->read_at == kStart + metadata::kRewriteGracePeriod);
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/proxy_evacuation_test.cc
+++ b/tests/proxy/proxy_evacuation_test.cc
@@ -140,7 +140,7 @@
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
   REQUIRE(fixture.reads.size() == 1);
-  CHECK_FALSE(fixture.reads.back().read.may_be_old);
+  CHECK_FALSE(fixture.reads.back().read.allow_stale);
   CHECK_FALSE(fixture.reads.back().read.after_revision);
   const Instant asked_at = fixture.now;
   fixture.now += milliseconds(5);
--- a/tests/proxy/proxy_test.cc
+++ b/tests/proxy/proxy_test.cc
@@ -88,7 +88,7 @@
     if (read.read.collection == model::Collection::kInstances) {
       const bool list = !read.read.after_revision;
       lists += list ? 1 : 0;
-      fresh_lists += list && !read.read.may_be_old ? 1 : 0;
+      fresh_lists += list && !read.read.allow_stale ? 1 : 0;
     }
     if (read.read.after_revision) {
       return;  // nothing changes
--- a/tests/routing/read_write_split_test.cc
+++ b/tests/routing/read_write_split_test.cc
@@ -57,13 +57,13 @@
 
 TEST_CASE("Retries stay within their fraction of the requests", "[routing]") {
   RetryBudget budget(0.5, 2.0);
-  CHECK(budget.TakeRetry());
-  CHECK(budget.TakeRetry());
-  CHECK_FALSE(budget.TakeRetry());
-  budget.NoteRequest();
-  CHECK_FALSE(budget.TakeRetry());
-  budget.NoteRequest();
-  CHECK(budget.TakeRetry());
+  CHECK(budget.ConsumeRetry());
+  CHECK(budget.ConsumeRetry());
+  CHECK_FALSE(budget.ConsumeRetry());
+  budget.OnRequest();
+  CHECK_FALSE(budget.ConsumeRetry());
+  budget.OnRequest();
+  CHECK(budget.ConsumeRetry());
 }
 
 }  // namespace valvekeel::routing
