--- a/src/confirmation/majority_confirmation.cc
+++ b/src/confirmation/majority_confirmation.cc
@@ -5,7 +5,7 @@
 namespace valvekeel::confirmation {
 
 bool MajorityConfirmation::HasMajority(const Pending& pending) const {
-  const std::size_t votes = pending.votes.size() + 1;  // and the primary's own
+  const std::size_t votes = pending.votes.size() + 1;  // plus the primary's own
   return 2 * votes > instances_;
 }
 
@@ -13,7 +13,7 @@
                                                   bool position_needed, common::Instant deadline) {
   const Pending pending{position, position_needed, deadline, {}};
   if (HasMajority(pending)) {
-    return {{number, Outcome::kConfirmed}};
+    return {{number, ConfirmationResult::kConfirmed}};
   }
   pending_[number] = pending;
   last_added_ = std::max(last_added_, number);
@@ -45,7 +45,7 @@
       break;  // added after the probe was sent: the answer may be older than the commit
     }
     if (answer.term > pending.position.term) {
-      resolved.push_back({number, Outcome::kSuperseded});
+      resolved.push_back({number, ConfirmationResult::kSuperseded});
       continue;
     }
     const bool holds = !pending.position_needed || answer.received >= pending.position.lsn;
@@ -53,7 +53,7 @@
       pending.votes.insert(sent.instance);
     }
     if (HasMajority(pending)) {
-      resolved.push_back({number, Outcome::kConfirmed});
+      resolved.push_back({number, ConfirmationResult::kConfirmed});
     }
   }
   for (const Resolution& resolution : resolved) {
@@ -66,7 +66,7 @@
   std::vector<Resolution> resolved;
   for (const auto& [number, pending] : pending_) {
     if (pending.deadline <= now) {
-      resolved.push_back({number, Outcome::kTimedOut});
+      resolved.push_back({number, ConfirmationResult::kTimedOut});
     }
   }
   for (const Resolution& resolution : resolved) {
--- a/src/confirmation/majority_confirmation.h
+++ b/src/confirmation/majority_confirmation.h
@@ -2,8 +2,8 @@
 //
 // Owns: the commits waiting for confirmation. Invariant: a commit is confirmed only when a majority
 // of the group's instances, the primary among them, has reported the commit's term and position in
-// probes sent after the commit; then every electable successor holds it. No clock is trusted: time
-// only gives up. Pure. Thread: its host's.
+// answers to probes sent after the commit; then every electable successor holds it. Safety
+// depends on no clock: a deadline only ends a wait. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -21,24 +21,25 @@
 using PendingNumber = std::uint64_t;
 
 /// How a wait for confirmation ended.
-enum class Outcome : std::uint8_t {
+enum class ConfirmationResult : std::uint8_t {
   kConfirmed,
   kSuperseded,  // an instance reports a later term
   kTimedOut,
 };
 
+/// The end of the wait of one commit or barrier.
 struct Resolution {
   PendingNumber number = 0;
-  Outcome outcome = Outcome::kTimedOut;
+  ConfirmationResult result = ConfirmationResult::kTimedOut;
 };
 
-/// What an instance answered to a probe.
+/// An instance's answer to a probe.
 struct ProbeAnswer {
   common::Term term = 0;
   common::Lsn received = 0;
 };
 
-/// Number of a probe, to tie an answer to what was pending when it was sent.
+/// Number of a probe; links an answer to the commits that were pending when it was sent.
 using ProbeNumber = std::uint64_t;
 
 /// Counts the votes of the other instances of one group.
@@ -51,20 +52,21 @@
 
   /// Adds a commit that the primary itself has just reported at this position and term.
   /// @param position_needed false for a barrier, which needs only the term to be current.
-  /// @return its resolution at once if the primary alone is a majority.
+  /// @return its resolution at once if the primary alone is a majority, else nothing.
   std::vector<Resolution> Add(PendingNumber number, common::Position position, bool position_needed,
                               common::Instant deadline);
 
-  /// @return true if a probe of the instance could settle something.
+  /// @return true if an answer of the instance could confirm a pending commit.
   bool NeedsProbe(const std::string& instance) const;
 
-  /// Notes that a probe goes to the instance now; it votes for what is pending at this moment.
+  /// Registers a probe that is sent to the instance now. Its answer counts for the commits pending
+  /// at this time.
   ProbeNumber StartProbe(const std::string& instance);
 
   std::vector<Resolution> OnProbeAnswer(ProbeNumber probe, const ProbeAnswer& answer);
   void OnProbeFailed(ProbeNumber probe) { probes_.erase(probe); }
 
-  /// Gives up what has reached its deadline.
+  /// Ends the waits whose deadline has passed.
   std::vector<Resolution> Expire(common::Instant now);
 
   std::size_t PendingCount() const { return pending_.size(); }
--- a/src/failover/attempt.cc
+++ b/src/failover/attempt.cc
@@ -10,15 +10,15 @@
 
 constexpr common::Duration kControlTimeout{300'000};
 constexpr common::Duration kControlRepeatInterval{40'000};
-constexpr common::Duration kStragglerWait{60'000};    // for replicas beyond those needed
-constexpr common::Duration kFenceTimeout{2'500'000};  // then replication is resumed
+constexpr common::Duration kStragglerWait{60'000};    // for replicas beyond the required number
+constexpr common::Duration kFenceTimeout{2'500'000};  // after it replication is resumed
 constexpr common::Duration kClaimTimeout{3'000'000};
 constexpr common::Duration kRecordTimeout{3'000'000};
 constexpr common::Duration kPromotionTimeout{500'000};
 constexpr common::Duration kPromotionRetryInterval{100'000};
 constexpr common::Duration kVerifyTimeout{1'500'000};
 constexpr common::Duration kReleaseRequestInterval{50'000};
-/// Left of the action window when a promotion may still be sent.
+/// Least remainder of the action window in which a promotion may still be sent.
 constexpr common::Duration kActionReserve{100'000};
 
 }  // namespace
@@ -52,7 +52,7 @@
   Actions actions;
   if (fence_term_ == 0) {
     old_term_ = std::max<common::Term>(1, view.term);
-    // The promoted instance leads exactly this term: its replicas then let go by themselves.
+    // The promoted instance gets exactly this term, so its replicas lift their fences themselves.
     fence_term_ = old_term_ + 1;
   }
   const bool another_primary_known =
@@ -64,7 +64,7 @@
   if (ClaimIsLost()) {
     RestartClaim(now, actions);
   }
-  // A step that completes lets the next one start at once.
+  // When a step completes, the next one starts at once.
   Step before = Step::kGivenUp;
   while (before != step_ && !Ended()) {
     before = step_;
@@ -114,7 +114,7 @@
 
 void Attempt::RestartClaim(common::Instant now, Actions& actions) {
   actions.emplace_back(AttemptLogEntry{"claim_gone", "the store returned from an older copy"});
-  // Until it is claimed again, another may replace the primary and lift these fences.
+  // Until the claim is written again, another daemon may replace the primary and lift these fences.
   fenced_.clear();
   fenced_at_ = common::Instant(0);
   Enter(Step::kClaim, now);
@@ -124,8 +124,8 @@
                      Actions& actions) {
   actions.emplace_back(AttemptLogEntry{"giving_up", reason});
   if (!promotion_was_sent_) {
-    // Cut off from a primary that another coordinator has promoted meanwhile, this daemon must not
-    // undo what keeps the old one from being taken for the newest: fences, and the record's word.
+    // Another coordinator may have promoted a primary that this daemon can't reach. The fences and
+    // the record's entry keep the old primary from being taken for the newest, so they must stay.
     const bool promoted = EarlierReplacementStarted() && !earlier_attempt_.candidate.empty();
     if (!promoted) {
       ResumeOtherReplicas(view, actions);
@@ -152,7 +152,8 @@
 }
 
 model::AttemptRecord Attempt::RecordAfterGiveUp() const {
-  // Whatever led before the primary is replaced: daemons cut off since must not be told otherwise.
+  // Every primary before the present one has been replaced. Daemons that were cut off since must
+  // still find that in the record, or they may renew the lease of an earlier term.
   const common::Term replaced = old_term_ - 1;
   return earlier_attempt_.replaced_term >= replaced ? earlier_attempt_
                                                     : model::AttemptRecord{replaced, ""};
@@ -175,8 +176,9 @@
     return;
   }
   SaveEarlierAttempt();
-  // What an earlier replacement of this primary, or of a later one, has left on record stays there:
-  // its candidate may lead, and the next attempt must know if this one ends without a word.
+  // Keep an entry that an earlier attempt to replace this or a later primary has written: its
+  // candidate may be the primary, and the next attempt needs the entry if this one ends without
+  // another write.
   const model::AttemptRecord claim =
       EarlierReplacementStarted() ? earlier_attempt_ : model::AttemptRecord{old_term_, ""};
   actions.emplace_back(WriteRecord{leadership_.PrepareWrite(service_, claim, now)});
@@ -190,8 +192,9 @@
   requests_.erase(instance);
   primaries_of_old_term_.erase(instance);
   primaries_of_earlier_terms_.erase(instance);
-  // Unfenced, it may have acknowledged for the primary that is replaced: the choice is made anew. A
-  // promotion that was sent can't be taken back, but is not asked for once more.
+  // The restarted replica is not fenced and may have acknowledged commits of the replaced primary,
+  // so the candidate is chosen again. A promotion that was sent can't be withdrawn, but is not
+  // requested a second time.
   const bool chosen = step_ == Step::kRelease || step_ == Step::kRecord || step_ == Step::kPromote;
   if (promotion_requested) {
     excluded_candidates_.insert(instance);
@@ -233,11 +236,10 @@
   if (view.one_fence_is_enough) {
     return 1;
   }
-  // A commit is acknowledged once `sync_replicas` of the replicas hold it: with all but one less of
-  // them fenced, none can be. Every majority must hold a fenced instance too.
-  // A primary that is not known, or no longer listed, counts all the same.
-  // What a restarted replica held before can't be asked any more: it counts as one that can't be
-  // fenced.
+  // A commit is acknowledged once `sync_replicas` of the replicas hold it. If fewer than that are
+  // left unfenced, none can be. Every majority must contain a fenced instance too. A primary that
+  // is unknown or no longer listed is counted all the same. The log that a restarted replica held
+  // before can't be queried any more, so it counts as a replica that can't be fenced.
   const std::size_t replicas =
       std::max(ReplicaCount(view), view.reported_replicas) + view.lost_logs;
   const std::size_t members = replicas + 1;
@@ -277,13 +279,14 @@
       return;
     }
     if (all) {
-      // Fenced, they receive nothing that could make one of them a candidate.
-      GiveUp(view, "no replica that may lead holds what may have been acknowledged", now, actions);
+      // Fenced replicas receive nothing, so none of them can become eligible later.
+      GiveUp(view, "no eligible replica holds every commit that may have been acknowledged", now,
+             actions);
       return;
     }
   }
   if (now >= step_entered_at_ + kFenceTimeout) {
-    GiveUp(view, enough ? "no candidate" : "too few fenced", now, actions);
+    GiveUp(view, enough ? "no eligible candidate" : "too few replicas fenced", now, actions);
   }
 }
 
@@ -309,11 +312,11 @@
   };
   const MemberView* best = nullptr;
   for (const MemberView& member : view.members) {
-    const Rank mine = rank(member);
-    if (!mine.usable) {
+    const Rank current = rank(member);
+    if (!current.usable) {
       continue;
     }
-    if (best == nullptr || rank(*best) < mine) {
+    if (best == nullptr || rank(*best) < current) {
       best = &member;
     }
   }
@@ -328,8 +331,8 @@
 }
 
 void Attempt::DemoteOldPrimary(const GroupView& view, common::Instant now, Actions& actions) {
-  // The fences alone keep it from committing; demoted, it also refuses at once what is still open
-  // there, and a replica that comes back unfenced cannot acknowledge for it.
+  // The fences alone keep it from committing. Once demoted, it also rejects its open requests at
+  // once, and a replica that returns without a fence can't acknowledge its commits.
   for (const MemberView& member : view.members) {
     if (member.id == view.primary && member.reachable && !old_primary_demoted_) {
       SendIfDue(member.id, {model::ControlKind::kDemote, fence_term_}, kControlRepeatInterval, now,
@@ -394,7 +397,7 @@
   }
   const bool unanswered = promotion_outstanding_ && now >= promotion_sent_at_ + kPromotionTimeout;
   if (unanswered) {
-    // It may have been done: look, before asking once more.
+    // The promotion may have been done: check before requesting it once more.
     promotion_outstanding_ = false;
     Enter(Step::kVerify, now);
     return;
@@ -418,8 +421,8 @@
 
 void Attempt::Verify(const GroupView& view, common::Instant now, Actions& actions) {
   if (candidate_leads_ || view.term > old_term_) {
-    // Replicas let go of their fences when they hear of the new primary. Until then none of them
-    // may receive from the old one again, unless that can't commit any more.
+    // Replicas lift their fences when they learn of the new primary. Until then none of them may
+    // receive from the old one again, unless it can't commit any more.
     if (old_primary_demoted_) {
       ResumeOtherReplicas(view, actions);
     }
@@ -434,11 +437,11 @@
 }
 
 void Attempt::SendIfDue(const std::string& instance, const model::ControlRequest& request,
-                        common::Duration pause, common::Instant now, Actions& actions) {
+                        common::Duration interval, common::Instant now, Actions& actions) {
   SentRequest& outstanding = requests_[instance];
-  const bool late = outstanding.waiting && now >= outstanding.sent + kControlTimeout;
-  const bool pausing = now < outstanding.sent + pause;
-  if ((outstanding.waiting && !late) || pausing) {
+  const bool timed_out = outstanding.waiting && now >= outstanding.sent + kControlTimeout;
+  const bool too_soon = now < outstanding.sent + interval;
+  if ((outstanding.waiting && !timed_out) || too_soon) {
     return;
   }
   outstanding = {now, true};
@@ -500,8 +503,8 @@
     return;
   }
   if (status.term > old_term_) {
-    // A later primary is known there: it is that one which is replaced, and the record must tell
-    // so before anything is fenced.
+    // The replica reports a later primary. That one is to be replaced instead, and the record must
+    // say so before any replica is fenced.
     old_term_ = status.term;
     fence_term_ = old_term_ + 1;
     fenced_.clear();
@@ -509,15 +512,15 @@
     Enter(Step::kClaim, now);
     return;
   }
-  // A fence that an earlier attempt has left holds as well.
+  // A fence left by an earlier attempt counts as well.
   if (status.fenced_term >= fence_term_ && request.term == fence_term_) {
     fenced_[instance] = {status.received};
   }
 }
 
-void Attempt::OnRecordWritten(bool held) {
-  write_done_ = held;
-  write_failed_ = !held;
+void Attempt::OnRecordWritten(bool is_holder) {
+  write_done_ = is_holder;
+  write_failed_ = !is_holder;
 }
 
 void Attempt::OnPromotionAnswer(PromotionStatus status) {
--- a/src/failover/attempt.h
+++ b/src/failover/attempt.h
@@ -1,20 +1,21 @@
-// One replacement of a group's primary, step by step.
+// Replaces the primary of one group, step by step.
 //
 //   claim     write the leadership record
 //   fence     pause replication at so many replicas that the old primary can't get a commit
-//             acknowledged, and that every majority of the group holds one that was paused
+//             acknowledged, and that every majority of the group contains a paused one;
 //             the old primary is demoted too if it answers
-//   release   wait until every daemon let go of reads at the old primary, or the lease time
+//   release   wait until every daemon has released its read lease of the old primary, or until
+//             the lease time has passed
 //   record    write the leadership record again, with the candidate
 //   promote   ask the platform to promote the candidate
-//   verify    wait until the candidate says that it leads
+//   verify    wait until the candidate reports that it is the primary
 //
-// If the store returns from an older copy, the claim may be gone from it: the attempt begins anew
-// with a claim in the new history.
+// If the store is restored from an older copy, the claim may be lost. The attempt then starts again
+// with a claim in the new era.
 //
-// Owns: the state of one attempt. Invariant: the promotion is asked for only while the leadership
-// allows it, with the candidate of the highest position among the fenced replicas; these are so
-// many that one of them holds every acknowledged commit. Pure. Thread: its host's.
+// Owns: the state of one attempt. Invariant: the promotion is requested only while the leadership
+// allows it, with the candidate of the highest position among the fenced replicas; so many are
+// fenced that one of them holds every acknowledged commit. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -39,12 +40,12 @@
   std::string id;
   bool draining = false;
   bool reachable = false;
-  bool terminated = false;  // counts as ended; fenced all the same should it come back
-  bool unlisted = false;    // no longer listed; may still hold the only copy of a commit
+  bool terminated = false;  // not counted as a replica; still fenced if it restarts
+  bool unlisted = false;    // no longer in the catalog; may still hold the only copy of a commit
   model::LeaderFitness fitness = model::LeaderFitness::kFit;
 };
 
-/// What the daemon knows of the group.
+/// Local view of the group.
 struct GroupView {
   std::string service;
   common::Term term = 0;  // of the known primary
@@ -52,11 +53,11 @@
   std::uint32_t sync_replicas = 0;
   std::vector<MemberView> members;
   bool one_fence_is_enough = false;   // for tests of the checkers only
-  std::size_t reported_replicas = 0;  // as other daemons count them
-  common::Position minimum_position;  // that the candidate must hold, for replicas that ended
-  std::size_t lost_logs = 0;          // replicas that may have held the only copy of a commit
-  std::set<std::string> unreleased_daemons;  // daemons that may still read at the old primary
-  /// The replacement is planned: it is worth nothing unless the new primary suits better than this.
+  std::size_t reported_replicas = 0;  // highest count reported by other daemons
+  common::Position minimum_position;  // of the candidate's log, because of terminated replicas
+  std::size_t lost_logs = 0;  // restarted replicas that may have held the only copy of a commit
+  std::set<std::string> unreleased_daemons;  // may still read from the old primary
+  /// Set for a planned replacement: the candidate must have a higher fitness than this.
   std::optional<model::LeaderFitness> fitness_to_exceed;
 };
 
@@ -66,23 +67,24 @@
   model::ControlRequest request;
 };
 
-/// Tells all daemons to let go of the replaced primary's term.
+/// Asks all daemons to release their read leases for the replaced primary's term.
 struct RequestLeaseRelease {
   common::Term replaced_term = 0;
 };
 
+/// Writes the leadership record, if it still has the expected revision.
 struct WriteRecord {
   ConditionalWrite write;
 };
 
-/// Asks the platform to promote.
+/// Asks the platform to promote the candidate.
 struct RequestPromotion {
   std::string candidate;
   std::string holder;
   std::uint64_t token = 0;
 };
 
-/// A line for the log.
+/// An entry for the log.
 struct AttemptLogEntry {
   std::string step;
   std::string detail;
@@ -91,8 +93,10 @@
 using AttemptAction =
     std::variant<SendControl, RequestLeaseRelease, WriteRecord, RequestPromotion, AttemptLogEntry>;
 
+/// How the platform answered a promotion request.
 enum class PromotionStatus : std::uint8_t { kAccepted, kNotRunning, kRefused, kNoAnswer };
 
+/// Steps of an attempt, in order; the last two are its ends.
 enum class Step : std::uint8_t {
   kClaim,
   kFence,
@@ -107,37 +111,41 @@
 /// @return the step's name in logs.
 const char* StepName(Step step);
 
-/// What a replacement needs of the replicas, and what there is.
+/// How many replicas must be fenced for a replacement, and how many can be.
 struct FenceCount {
   std::size_t needed = 0;
   std::size_t reachable = 0;
-  std::size_t replicas = 0;  // that are counted here
+  std::size_t replicas = 0;  // in total
 };
 
+/// One attempt to replace the primary of a group. The caller carries out the returned actions and
+/// passes their results back.
 class Attempt {
  public:
-  /// @param leadership of this daemon, outlives the attempt.
+  /// @param leadership of this daemon; must outlive the attempt.
   Attempt(std::string service, Leadership& leadership, common::Instant now);
 
-  /// Goes on as far as possible. @return what is to be done.
+  /// Runs as many steps as currently possible. @return the actions for the caller to carry out.
   std::vector<AttemptAction> Advance(const GroupView& view, common::Instant now);
 
-  /// Takes an instance's answer to a control request, nothing if there was none.
+  /// Handles an instance's answer to a control request. @param status empty if there was no answer.
   void OnControlAnswer(const std::string& instance, const model::ControlRequest& request,
                        const std::optional<model::InstanceStatus>& status, common::Instant now);
 
-  /// An instance has started again: its fence is gone, and so is what it held.
+  /// Handles a restart of an instance: its fence is lifted and its log is lost.
   void OnMemberRestarted(const std::string& instance, common::Instant now);
 
-  /// @return how many replicas must be fenced, and how many answer.
+  /// @return how many replicas must be fenced, and how many are reachable.
   static FenceCount CountFences(const GroupView& view);
 
-  /// @return true if so many replicas answer that the primary could be replaced.
+  /// @return true if enough replicas are reachable to replace the primary.
   static bool IsFeasible(const GroupView& view);
 
-  /// Takes the result of the record's write. @param held as Leadership::Written returned.
-  void OnRecordWritten(bool held);
+  /// Handles the result of writing the record. @param is_holder the return value of
+  /// Leadership::OnWriteResult.
+  void OnRecordWritten(bool is_holder);
 
+  /// Handles the answer to the outstanding promotion request; ignored if there is none.
   void OnPromotionAnswer(PromotionStatus status);
 
   const std::string& Service() const { return service_; }
@@ -164,11 +172,12 @@
   void GiveUp(const GroupView& view, const std::string& reason, common::Instant now,
               Actions& actions);
   void Claim(common::Instant now, Actions& actions);
-  /// Keeps what the record tells of the service now: the claim is about to be written over it.
+  /// Saves the record's present entry of the service, which the claim is about to overwrite.
   void SaveEarlierAttempt();
-  /// @return what the record should tell of the service once this attempt is given up.
+  /// @return the service's entry to write to the record when this attempt is given up.
   model::AttemptRecord RecordAfterGiveUp() const;
-  /// @return true if another replacement of the same primary was begun before, and perhaps done.
+  /// @return true if an earlier attempt to replace this or a later primary was started. It may have
+  /// succeeded.
   bool EarlierReplacementStarted() const { return earlier_attempt_.replaced_term >= old_term_; }
   void Fence(const GroupView& view, common::Instant now, Actions& actions);
   void AwaitRelease(const GroupView& view, common::Instant now, Actions& actions);
@@ -178,7 +187,7 @@
   void ApplyFenceAnswer(const std::string& instance, const model::ControlRequest& request,
                         const model::InstanceStatus& status, common::Instant now);
   void SendIfDue(const std::string& instance, const model::ControlRequest& request,
-                 common::Duration pause, common::Instant now, Actions& actions);
+                 common::Duration interval, common::Instant now, Actions& actions);
   void DemoteOldPrimary(const GroupView& view, common::Instant now, Actions& actions);
   void FenceReturnedReplicas(const GroupView& view, common::Instant now, Actions& actions);
   void ResumeOtherReplicas(const GroupView& view, Actions& actions);
@@ -191,16 +200,14 @@
   Leadership& leadership_;
   Step step_ = Step::kClaim;
   common::Instant step_entered_at_{0};
-  model::AttemptRecord earlier_attempt_;  // what the record told of the service before this attempt
+  model::AttemptRecord earlier_attempt_;  // entry in the record before this attempt
   std::uint64_t claimed_era_ = 0;
   common::Term old_term_ = 0;
   common::Term fence_term_ = 0;
   bool another_primary_leads_ = false;
   bool old_primary_demoted_ = false;
-  std::set<std::string>
-      primaries_of_old_term_;  // the old primary, back under an id that was not known
-  std::set<std::string>
-      primaries_of_earlier_terms_;  // replaced before, and back without knowing it
+  std::set<std::string> primaries_of_old_term_;  // the old primary, returned under an unknown id
+  std::set<std::string> primaries_of_earlier_terms_;  // returned, still leading
   bool write_failed_ = false;
   bool write_done_ = false;
   std::map<std::string, Fenced> fenced_;
@@ -212,7 +219,7 @@
   common::Instant promotion_sent_at_{0};
   bool promotion_outstanding_ = false;
   bool promotion_was_sent_ = false;
-  std::set<std::string> excluded_candidates_;  // candidates that do not run
+  std::set<std::string> excluded_candidates_;  // not running, or restarted after the request
   bool candidate_leads_ = false;
 };
 
--- a/src/failover/leadership.cc
+++ b/src/failover/leadership.cc
@@ -5,7 +5,7 @@
 namespace valvekeel::failover {
 namespace {
 
-/// Room for the holders of an era: a hundred a second for a year are 3 thousand million.
+/// Token numbers reserved for each era: 100 holders per second for a year need 3.2e9 of them.
 constexpr std::uint64_t kTokensPerEra = std::uint64_t{1} << 32U;
 
 }  // namespace
@@ -18,7 +18,7 @@
   revision_ = model::FirstRevisionOfEra(era);
   era_started_at_ = now;
   may_act_until_ = common::Instant(0);
-  // Which replacements were begun is still true; who holds the record is not.
+  // The replacements that were started are still valid; the holder is not.
   record_.holder.clear();
 }
 
@@ -78,7 +78,7 @@
   if (!answered) {
     return false;
   }
-  // A conflict with our own write: its first answer was lost.
+  // A conflict with this daemon's own write means that the answer to its first attempt was lost.
   const bool ours = result.record.nonce == write_nonce_;
   OnRecordRead(result.record, result.revision, now);
   const bool in_current_era = result.record.era == Era() && result.revision.era == Era();
--- a/src/failover/leadership.h
+++ b/src/failover/leadership.h
@@ -1,17 +1,18 @@
-// Which daemon may promote instances.
+// Decides which daemon may promote instances.
 //
-// One record in the metadata store names the holder; it is written only under a condition on its
-// revision. A holder may act on a write for kActionWindow after it sent the write; nobody else
+// One record in the metadata store names the holder. It is written only with a condition on its
+// revision. A holder may act on a write for kActionWindow after it sent the write; no other daemon
 // writes before it has seen the record unchanged for kTakeoverTime. So two holders never act at the
-// same time, and the token of whoever acts later is higher.
+// same time, and a later holder has a higher token.
 //
-// When the store returns from an older copy, writes that were acknowledged are gone from it, and
-// their tokens would be given out again. So the record of a new era is another one: nobody writes
-// it before whoever wrote in the former era can't act any more, and its tokens begin above all of
-// that era's.
+// When the store is restored from an older copy, acknowledged writes are lost, and their tokens
+// would be issued again. So each era of the store has a record of its own: it is not written before
+// every holder of the former era has lost the right to act, and its tokens start above all of the
+// former era's.
 //
 // Owns: the record as last seen. Invariant: MayActUntil() is earlier than any other daemon's first
-// write after ours, as long as clocks run at the same rate. Pure. Thread: its host's.
+// write after this daemon's last one, as long as clocks run at the same rate. No I/O and no clock;
+// not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +24,7 @@
 
 namespace valvekeel::failover {
 
-/// How long after sending a write that succeeded its holder may act on it.
+/// How long after sending a successful write its holder may act on it.
 inline constexpr common::Duration kActionWindow{700'000};
 
 /// How long a record must have been seen unchanged before another daemon replaces its holder.
@@ -32,33 +33,35 @@
 /// How a write of the record ended.
 enum class WriteStatus : std::uint8_t {
   kWritten,
-  kConflict,  // the record has another revision; it is given
-  kRefused,   // nothing was done
+  kConflict,  // the record has another revision, which is returned
+  kRefused,   // the write was not done
   kNoAnswer,  // it may have been done, or may be done later
 };
 
+/// Result of a conditional write.
 struct WriteResult {
   WriteStatus status = WriteStatus::kNoAnswer;
-  model::Revision revision;        // of the record as it is now, number 0 if there is none
-  model::LeadershipRecord record;  // as it is now, of kWritten and kConflict
+  model::Revision revision;        // current one of the record; number 0: none exists
+  model::LeadershipRecord record;  // current one, for kWritten and kConflict
 };
 
-/// A conditional write.
+/// A write of the record that is done only if the record has the given revision.
 struct ConditionalWrite {
   model::LeadershipRecord record;
-  model::Revision revision;  // the record must have; number 0: it must not exist
+  model::Revision revision;  // that the record must have; number 0: none may exist
 };
 
+/// This daemon's view of the leadership record, and its right to act on it.
 class Leadership {
  public:
-  /// @param holder name of this life of this daemon; differs from that of an earlier life.
-  explicit Leadership(std::string holder) : own_name_(std::move(holder)) {}
+  /// @param own_name name of this daemon's incarnation; must differ from that of any earlier one.
+  explicit Leadership(std::string own_name) : own_name_(std::move(own_name)) {}
 
-  /// Takes the record as the store has it. @param revision of number 0 if there is none.
+  /// Applies the record as read from the store. @param revision number 0 if there is no record.
   void OnRecordRead(const model::LeadershipRecord& record, const model::Revision& revision,
                     common::Instant now);
 
-  /// The store's history is of this era now: nothing that was written in an earlier one counts.
+  /// Enters an era of the store: what was written in earlier ones no longer counts.
   void BeginEra(std::uint64_t era, common::Instant now);
 
   /// @return the era of the record.
@@ -67,17 +70,18 @@
   /// @return true if this daemon may write the record now.
   bool MayWrite(common::Instant now) const;
 
-  /// @return true if nobody can act on the record's last write any more.
+  /// @return true if no daemon may act on the record's last write any more.
   bool LastWriteExpired(common::Instant now) const {
     return record_known_ && EarlierErasExpired(now) && now >= changed_at_ + kTakeoverTime;
   }
 
-  /// @param attempt of the service; one of term 0 takes the service's entry out.
-  /// @return the write to make; MayWrite must hold.
+  /// Requires MayWrite(now).
+  /// @param attempt of the service; one with term 0 removes the service's entry.
+  /// @return the write to make.
   ConditionalWrite PrepareWrite(const std::string& service, const model::AttemptRecord& attempt,
                                 common::Instant now);
 
-  /// Takes the result of the write made last. @return true if this daemon holds the record with it.
+  /// Handles the result of the last write. @return true if it made or kept this daemon the holder.
   bool OnWriteResult(const WriteResult& result, common::Instant now);
 
   bool WriteInProgress() const { return write_in_progress_; }
@@ -86,11 +90,11 @@
   const model::LeadershipRecord& Record() const { return record_; }
   const std::string& OwnName() const { return own_name_; }
 
-  /// @return the instant until which this daemon may act on its last successful write.
+  /// @return the time until which this daemon may act on its last successful write.
   common::Instant MayActUntil() const { return may_act_until_; }
 
  private:
-  /// @return true if nobody can act any more on a write of an earlier era.
+  /// @return true if no daemon may act on a write of an earlier era any more.
   bool EarlierErasExpired(common::Instant now) const {
     return revision_.era == 0 || now >= era_started_at_ + kTakeoverTime;
   }
@@ -99,11 +103,11 @@
   bool record_known_ = false;
   model::LeadershipRecord record_;
   model::Revision revision_;
-  common::Instant era_started_at_{0};  // as far as is known here
+  common::Instant era_started_at_{0};  // when this daemon learned of it
   common::Instant changed_at_{0};
   bool write_in_progress_ = false;
   std::string write_nonce_;
-  common::Instant write_sent_at_{0};  // of the write in progress, its repetitions included
+  common::Instant write_sent_at_{0};  // of the write in progress
   common::Instant may_act_until_{0};
   std::uint64_t write_count_ = 0;
 };
--- a/src/group/position_history.cc
+++ b/src/group/position_history.cc
@@ -13,8 +13,8 @@
   if (older) {
     return;
   }
-  // A lower position from a later question means another primary's log: what was known before no
-  // longer orders with it.
+  // A lower position reported to a later request comes from another primary's log. Earlier samples
+  // are not comparable with it.
   if (newest_ && sample.position < newest_->position) {
     samples_.clear();
   }
--- a/src/group/read_lease.cc
+++ b/src/group/read_lease.cc
@@ -5,7 +5,7 @@
 namespace valvekeel::group {
 namespace {
 
-/// Rounds that are kept while answers are missing.
+/// Rounds kept while answers are missing.
 constexpr std::size_t kMaxOpenRounds = 8;
 
 }  // namespace
@@ -41,8 +41,8 @@
   if (leader.term == round.required_position.term && leader.received < round.required_position) {
     return false;
   }
-  // Who knows nothing of the group yet goes by this round: a replica that was asked a moment later
-  // may be a little ahead, and the next round shows that.
+  // Without an earlier confirmation in this term only this round counts. A replica that was queried
+  // a moment later may be slightly ahead; the next round settles that.
   const bool first = newest_.term < leader.term;
   return std::none_of(round.answers.begin(), round.answers.end(), [&](const auto& each) {
     const model::InstanceStatus& other = each.second;
--- a/src/metadata/collection_follower.cc
+++ b/src/metadata/collection_follower.cc
@@ -8,22 +8,22 @@
 namespace {
 
 constexpr common::Duration kListTimeout{1'500'000};
-constexpr common::Duration kWatchTimeoutSlack{
-    700'000};  // a watch's answer may come this much later
-/// Lists that may be answered from an old state before one must not be.
+constexpr common::Duration kWatchTimeoutSlack{700'000};  // allowed delay of a watch's answer
+/// Consecutive stale lists after which the next list must be of the newest state.
 constexpr std::uint32_t kMaxStaleLists = 3;
-/// Longest wait of the first watch after a failure: whether the store is back shows soon.
+/// Longest wait of the first watch after a failure, so that a recovery of the store is noticed
+/// soon.
 constexpr common::Duration kFirstWatchWait{500'000};
-/// Longest time between an answer and the next watch for it to go on: longer than any pause between
-/// calls of one that is followed closely.
+/// Longest gap between an answer and the next watch for which the connection to the store is
+/// assumed to persist: longer than any pause between the calls of a closely followed collection.
 constexpr common::Duration kMaxWatchGap{1'000'000};
-/// Time for a watch to bring what was there before it began, if it began from an old state.
+/// Time for a watch to deliver the changes made before it began, if it began from an old state.
 constexpr common::Duration kWatchSettleTime{100'000};
 constexpr common::Duration kStaleListPause{300'000};
 constexpr common::Duration kMinBackoff{100'000};
 constexpr std::uint32_t kMaxDoublings = 3;
-/// Changes that come closer than this gather while more follow: a single one is heard at once, the
-/// 990 entries of a start ended 449 watches of each coordinator.
+/// Changes closer together than this are batched. A single change is reported at once. Without
+/// batching, the 990 entries of a cold start ended 449 watches of each coordinator.
 constexpr common::Duration kBurstGap{400'000};
 constexpr common::Duration kMinBurstPause{20'000};
 constexpr common::Duration kMaxBurstPause{250'000};
@@ -54,7 +54,7 @@
   if (required_revision_.era >= era) {
     return false;
   }
-  // A watch from a revision that the new era gives out a second time would miss what is there.
+  // A watch from a revision that the new era issues a second time would miss existing objects.
   required_revision_ = model::FirstRevisionOfEra(era);
   reached_revision_.reset();
   stale_lists_ = 0;
@@ -73,10 +73,10 @@
 }
 
 bool CollectionFollower::WatchIsCurrent(common::Instant now) const {
-  const bool closely = pace_.pause == common::Duration(0) && call_in_progress_ && !call_is_list_;
-  // A watch that takes up after a rest may have no way to the store any more.
-  const bool goes_on = call_sent_at_ <= answered_at_ + kMaxWatchGap;
-  return connected_ && closely && goes_on && now >= call_sent_at_ + kWatchSettleTime;
+  const bool unpaused = pace_.pause == common::Duration(0) && call_in_progress_ && !call_is_list_;
+  // A watch that starts after a break may have no connection to the store any more.
+  const bool continued = call_sent_at_ <= answered_at_ + kMaxWatchGap;
+  return connected_ && unpaused && continued && now >= call_sent_at_ + kWatchSettleTime;
 }
 
 void CollectionFollower::Disconnect() {
@@ -96,7 +96,7 @@
   call_is_refresh_ = refresh_wanted_;
   call_sent_at_ = now;
   ReadCall call{collection_, std::nullopt, common::Duration(0), kListTimeout};
-  // After a history that is gone an old state would lead there again.
+  // After the history is gone a list of an old state would lead to the same failure again.
   call.allow_stale =
       reached_revision_ ? stale_lists_ < kMaxStaleLists : stale_first_list_allowed_ && !listed_;
   call.allow_stale = call.allow_stale && !refresh_wanted_;
@@ -120,7 +120,7 @@
   failures_ = 0;
   BeginEra(result.revision.era);
   const bool of_former_era = result.revision.era < required_revision_.era;
-  // Events say nothing of what the era's history held before.
+  // Events do not contain what the era's history held before them.
   if (of_former_era || (!call_is_list_ && !reached_revision_)) {
     not_before_ = of_former_era ? now + kStaleListPause : not_before_;
     return {};
@@ -145,9 +145,9 @@
 std::vector<CatalogChange> CollectionFollower::HandleList(const ReadResult& result,
                                                           common::Instant now) {
   const bool older = reached_revision_ && result.revision < *reached_revision_;
-  const bool enough = !older && result.revision >= required_revision_;
-  stale_lists_ = enough ? 0 : stale_lists_ + 1;
-  if (!enough) {
+  const bool current = !older && result.revision >= required_revision_;
+  stale_lists_ = current ? 0 : stale_lists_ + 1;
+  if (!current) {
     not_before_ = std::max(not_before_, now + kStaleListPause);
   }
   if (older) {
@@ -161,9 +161,9 @@
   if (call_is_list_ || result.objects.empty()) {
     return;
   }
-  const bool goes_on = last_change_at_ && now < *last_change_at_ + kBurstGap;
+  const bool in_burst = last_change_at_ && now < *last_change_at_ + kBurstGap;
   burst_pause_ =
-      goes_on ? std::clamp(burst_pause_ * 2, kMinBurstPause, kMaxBurstPause) : common::Duration(0);
+      in_burst ? std::clamp(burst_pause_ * 2, kMinBurstPause, kMaxBurstPause) : common::Duration(0);
   last_change_at_ = now;
 }
 
@@ -198,9 +198,9 @@
 
 void CollectionFollower::KeepUnconfirmed(const ReadResult& result, common::Instant now,
                                          std::map<std::string, model::Revision>& listed) {
-  const bool begins = listed_ && result.revision.era > listed_era_;
+  const bool era_begins = listed_ && result.revision.era > listed_era_;
   listed_era_ = result.revision.era;
-  if (begins) {
+  if (era_begins) {
     unconfirmed_until_ = now + kRewriteGracePeriod;
   }
   if (!unconfirmed_until_ || now >= *unconfirmed_until_) {
--- a/src/metadata/store_era.h
+++ b/src/metadata/store_era.h
@@ -1,6 +1,7 @@
-// The era of the metadata store's history, as far as it is known.
+// Tracks the era of the metadata store's history.
 //
-// Owns: the newest era heard of, and when. Invariant: it never falls. Pure. Thread: its host's.
+// Owns: the newest known era and when this daemon learned of it. Invariant: the era never falls. No
+// I/O and no clock; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +10,12 @@
 
 namespace valvekeel::metadata {
 
-/// After the store returned from an older copy: time for operators and instances to write again
-/// what they had written (the platform names two seconds), and a part for the way.
+/// How long after the store was restored from an older copy its objects may be incomplete: the
+/// platform gives operators and instances 2 s to write their objects again; the rest is for the
+/// delay on the way.
 inline constexpr common::Duration kRewriteGracePeriod{2'500'000};
 
+/// The newest known era, and from when on reads in it are complete.
 class StoreEra {
  public:
   /// @return true if the era is later than the newest known one.
@@ -28,18 +31,18 @@
     return true;
   }
 
-  /// @return 0 if the store tells none.
+  /// @return the newest known era, 0 if the store reports none.
   std::uint64_t Newest() const { return newest_; }
 
-  /// @return how often the store has returned in this life of the daemon.
+  /// @return how often the store was restored during this incarnation of the daemon.
   std::uint64_t RestoreCount() const { return restore_count_; }
 
-  /// @return true if what a read that was sent at the instant did not show is not there, either:
-  /// before, it may just not have been written again.
+  /// @return true if a read that was sent at this time shows all objects. Before, a missing object
+  /// may just not have been written again.
   bool IsComplete(common::Instant asked) const { return asked >= complete_from_; }
 
-  /// @return the instant as of which a read that was sent at the given one shows all that operators
-  /// had written. A daemon that has just started can't know whether the store has just returned.
+  /// @return the time as of which a read that was sent at `asked` shows every object of the
+  /// operators. A daemon that has just started can't know whether the store has just been restored.
   common::Instant CompleteAsOf(common::Instant asked) const {
     return asked < settled_from_ ? asked - kRewriteGracePeriod : asked;
   }
--- a/src/model/catalog.h
+++ b/src/model/catalog.h
@@ -1,7 +1,7 @@
-// Configuration and discovery as the decision code sees them.
+// Configuration and discovery data, as the decision code uses it.
 //
 // Owns: the typed contents of the metadata store. Invariant: none beyond the types; the store's
-// adapter has checked them. Thread: any (values only).
+// adapter has validated the values. Values only; safe in any thread.
 #pragma once
 
 #include <cstdint>
@@ -39,10 +39,10 @@
   std::vector<std::string> allowed_regions;  // where it may run; empty: everywhere
 };
 
-/// How an instance that has just started is spared.
+/// Limits the load of an instance that has just started.
 struct WarmUp {
-  common::Duration time{0};  // from its start; 0: it takes all work at once
-  double rate = 0;           // requests a second that it may get meanwhile, from all daemons
+  common::Duration time{0};  // from its start; 0: no warm-up
+  double rate = 0;           // requests per second until then, from all daemons together
 
   bool operator==(const WarmUp&) const = default;
 };
@@ -50,8 +50,8 @@
 /// A database group as configured.
 struct Service {
   std::string name;
-  std::uint32_t max_connections = 1;  // of an instance, over all daemons
-  std::uint32_t sync_replicas = 0;    // that hold a commit before it is acknowledged
+  std::uint32_t max_connections = 1;  // per instance, from all daemons together
+  std::uint32_t sync_replicas = 0;    // that must hold a commit before it is acknowledged
   WarmUp warm_up;
 };
 
@@ -64,16 +64,16 @@
   common::Duration transaction_idle{0};            // after which an idle transaction may be ended
 };
 
-/// One life of an instance. It may start again under its id: then it holds and knows nothing of
-/// before, and what is learned late of the former life says nothing of the new one.
+/// One incarnation of an instance. An instance may restart under its id without its log or any
+/// earlier state; late information about the former incarnation does not apply to the new one.
 struct InstanceIncarnation {
   std::string id;
-  std::uint64_t incarnation = 0;  // another with each start; 0 if the instance doesn't tell
+  std::uint64_t incarnation = 0;  // differs with each start; 0: not reported
 
   bool operator==(const InstanceIncarnation&) const = default;
 };
 
-/// An instance as it announces itself.
+/// An instance, as it announces itself.
 struct InstanceEntry {
   std::string id;
   std::string service;
@@ -81,14 +81,14 @@
   std::string zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  bool primary = false;              // as it sees itself
-  common::Duration warm_up_left{0};  // as it was when the entry was written
-  std::uint64_t incarnation = 0;     // see InstanceLife
-  std::uint64_t sequence = 0;        // counts what the instance has written in this life
+  bool primary = false;              // according to the instance itself
+  common::Duration warm_up_left{0};  // at the time the entry was written
+  std::uint64_t incarnation = 0;     // see InstanceIncarnation
+  std::uint64_t sequence = 0;        // number of the entry's write in this incarnation
 
   InstanceIncarnation Identity() const { return {this->id, this->incarnation}; }
 
-  /// @return true if the other entry tells the same, written earlier or later.
+  /// @return true if the other entry is equal apart from its sequence, so written earlier or later.
   bool EqualsIgnoringSequence(const InstanceEntry& other) const {
     InstanceEntry same = other;
     same.sequence = this->sequence;
@@ -98,30 +98,30 @@
   bool operator==(const InstanceEntry&) const = default;
 };
 
-/// Why an entry names no instance to use.
+/// Why an entry can't be used.
 enum class EntryDefect : std::uint8_t {
   kMissingField,
   kWrongType,
   kOutOfRange,
-  kUnknownWord,  // a state or role that is not known
+  kUnknownWord,  // unknown state or role
   kBadAddress,
-  kBadText,  // bytes that are no characters
+  kBadText,  // not valid text
 };
 
 /// @return the defect's name in logs and metrics.
 const char* EntryDefectName(EntryDefect defect);
 
-/// An instance's entry that somebody else has written, or that can't be read.
+/// An entry of the instance collection that is not an instance's own, or can't be read.
 struct UnusableEntry {
   EntryDefect defect = EntryDefect::kMissingField;
 };
 
-/// An operator's wish that the instances of a zone get nothing more, until it is withdrawn.
+/// An operator's request that the instances of a zone get no new work, until it is withdrawn.
 struct ZoneEvacuation {
   std::string zone;
 };
 
-/// A daemon as it announces itself.
+/// A daemon, as it announces itself.
 struct DaemonEntry {
   std::string name;
   std::string zone;
@@ -129,7 +129,7 @@
   std::uint32_t capacity = 0;  // thousandths of a processor core; 0 if unknown
 };
 
-/// A replacement of a group's primary, begun or done.
+/// A replacement of a group's primary, started or completed.
 struct AttemptRecord {
   common::Term replaced_term = 0;  // of the primary that is replaced
   std::string candidate;           // empty until it is chosen
@@ -137,17 +137,18 @@
   bool operator==(const AttemptRecord&) const = default;
 };
 
-/// Who may promote instances, and which replacements were begun. Each era of the store's history
-/// has a record of its own: a write for an earlier one, done late, changes nothing of it.
+/// Which daemon may promote instances, and which replacements were started. Each era of the store's
+/// history has a record of its own, so a late write for an earlier era changes nothing in it.
 struct LeadershipRecord {
   std::uint64_t era = 0;
   std::string holder;
   std::uint64_t token = 0;     // rises whenever the holder changes
   std::uint64_t sequence = 0;  // rises with every write
-  std::string nonce;           // names the write, to recognize it after a lost answer
-  std::map<std::string, AttemptRecord> attempts;  // the last one of each service
+  std::string nonce;           // identifies the write, so that it is recognized after a lost answer
+  std::map<std::string, AttemptRecord> attempts;  // latest one of each service
 };
 
+/// The collections of the metadata store.
 enum class Collection : std::uint8_t {
   kConfiguration,
   kInstances,
@@ -159,7 +160,7 @@
 using CatalogPayload = std::variant<std::monostate, Configuration, InstanceEntry, DaemonEntry,
                                     LeadershipRecord, ZoneEvacuation, UnusableEntry>;
 
-/// One object of a collection; the payload is empty if it could not be read.
+/// One object of a collection. The payload is empty if it could not be read.
 struct CatalogObject {
   std::string name;
   Revision revision;
--- a/src/model/command.h
+++ b/src/model/command.h
@@ -1,7 +1,7 @@
 // Commands of a caller's session, independent of the protocol they arrive in.
 //
-// Owns: the typed commands. Invariant: what a caller asked for is kept unchanged in `arguments`, so
-// that an instance receives exactly that. Thread: any (values only).
+// Owns: the typed commands. Invariant: `arguments` holds the caller's text unchanged, so that an
+// instance receives exactly that. Values only; safe in any thread.
 #pragma once
 
 #include <compare>
@@ -17,14 +17,14 @@
   kRollback,
   kRead,
   kWrite,
-  kSet,         // sets a value of the session
+  kSet,         // sets a session variable
   kPrepare,     // names a statement
   kExecute,     // runs a named statement
-  kDeallocate,  // forgets a named statement
-  kInvalid,     // could not be read
+  kDeallocate,  // drops a named statement
+  kInvalid,     // could not be parsed
 };
 
-/// What a prepared statement runs.
+/// The statement that a prepared statement runs.
 struct PreparedStatement {
   bool writes = false;
   std::string text;
@@ -32,14 +32,15 @@
   auto operator<=>(const PreparedStatement&) const = default;
 };
 
+/// One command of a session.
 struct Command {
   CommandKind kind = CommandKind::kInvalid;
-  std::string name;            // of the value or of the prepared statement
-  std::string arguments;       // all that follows the verb or the name, unchanged
+  std::string name;            // of the session variable or of the prepared statement
+  std::string arguments;       // all text after the verb or the name, unchanged
   PreparedStatement prepared;  // of kPrepare
 };
 
-/// @return true if the command ends or starts a transaction or runs on data.
+/// @return true if the command runs on data or ends a transaction by a commit.
 inline bool RunsOnInstance(CommandKind kind) {
   return kind == CommandKind::kRead || kind == CommandKind::kWrite ||
          kind == CommandKind::kExecute || kind == CommandKind::kCommit;
--- a/src/model/leader_fitness.h
+++ b/src/model/leader_fitness.h
@@ -1,16 +1,16 @@
-// How well an instance suits to lead its group, apart from the log that it holds.
+// Fitness of an instance as the primary of its group, apart from its log position.
 //
-// Owns: the typed value. Invariant: none. Thread: any (values only).
+// Owns: the typed value. Invariant: none. Values only; safe in any thread.
 #pragma once
 
 #include <cstdint>
 
 namespace valvekeel::model {
 
-/// Ordered: who suits better is greater.
+/// Ordered: the fitter instance has the greater value.
 enum class LeaderFitness : std::uint8_t {
-  kUnfit,  // much of the group's work could not run there
-  kPoor,   // the work could run there, but badly for a while
+  kUnfit,  // much of the group's load could not run there
+  kPoor,   // the load could run there, but slowly for a while
   kFit,
 };
 
--- a/src/model/reply.h
+++ b/src/model/reply.h
@@ -1,7 +1,8 @@
-// Answers of instances and answers to callers.
+// Replies of instances and replies to callers.
 //
-// Owns: the error codes with what each promises. Invariant: a code for which PromisesNothingKept is
-// true is sent to a caller only if nothing of the request is or will be kept. Thread: any.
+// Owns: the error codes with their guarantees. Invariant: a code for which GuaranteesNoEffect is
+// true is sent to a caller only if the request has and will have no effect. Values only; safe in
+// any thread.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +17,14 @@
 
 enum class ErrorCode : std::uint8_t {
   kBusy,                // no capacity
-  kLagging,             // the log lacks the required position
+  kLagging,             // the log has not reached the required position
   kReadOnly,            // the instance is not the primary
   kWrongInstance,       // another instance answers at the address
-  kTooManyConnections,  // the instance has no connection left
+  kTooManyConnections,  // the instance accepts no further connection
   kAborted,             // the transaction was rolled back
   kFailed,              // ran and failed
-  kTimeout,             // ran out of time, may have run
-  kInDoubt,             // sent, the outcome is unknown
+  kTimeout,             // deadline passed; may have run
+  kInDoubt,             // sent; the outcome is unknown
   kUnknownStatement,    // no prepared statement of that name
   kUnknownDatabase,
   kMalformed,
@@ -31,7 +32,7 @@
   kDenied,
 };
 
-/// @return true if the code promises that nothing of the request is kept.
+/// @return true if the code guarantees that the request has no lasting effect.
 bool GuaranteesNoEffect(ErrorCode code);
 
 /// @return the code's name in logs and metrics.
@@ -39,7 +40,7 @@
 
 enum class TransactionState : std::uint8_t { kIdle, kOpen, kFailed };
 
-/// What an instance says about itself.
+/// Status that an instance reports about itself.
 struct InstanceStatus {
   bool primary = false;
   common::Term term = 0;
@@ -50,11 +51,11 @@
   std::uint32_t connections = 0;
 };
 
-/// Answer to one request: rows and either a signature or an error.
+/// Reply to one request: rows, and either a signature or an error.
 struct Reply {
   std::vector<std::string> rows;
   bool succeeded = false;
-  std::string signature;  // of the instance, "-" if the proxy answered
+  std::string signature;  // of the instance, "-" if the proxy itself replied
   ErrorCode error = ErrorCode::kFailed;
   std::string error_text;
   TransactionState state = TransactionState::kIdle;
--- a/src/model/request.h
+++ b/src/model/request.h
@@ -1,7 +1,7 @@
-// What the proxy asks of an instance over one of its connections.
+// Requests that the proxy sends to an instance over one of its connections.
 //
 // Owns: the typed requests. Invariant: an empty request id marks a request of the proxy's own.
-// Thread: any (values only).
+// Values only; safe in any thread.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,22 @@
 
 namespace valvekeel::model {
 
-/// A caller's command, or one that the proxy runs on the caller's behalf.
+/// A caller's command, or a command that the proxy runs on the caller's behalf.
 struct SessionRequest {
   std::string request_id;  // the caller's, empty for the proxy's own
   Command command;
-  std::optional<common::Position> required;  // refused if the log lacks it
+  std::optional<common::Position> required;  // the request fails if the log lacks it
 };
 
 enum class ControlKind : std::uint8_t {
-  kResetSession,       // drops values and prepared statements
-  kStatus,             // asks for InstanceStatus
+  kResetSession,       // drops session variables and prepared statements
+  kStatus,             // requests the InstanceStatus
   kPauseReplication,   // fences a replica: it receives nothing until resumed or promoted
   kResumeReplication,  // lifts the fence
   kDemote,             // turns a primary of a lower term into a replica
 };
 
+/// A request of the proxy that is not part of a session.
 struct ControlRequest {
   ControlKind kind = ControlKind::kStatus;
   common::Term term = 0;  // of kPauseReplication and kDemote
--- a/src/pool/instance_pool.cc
+++ b/src/pool/instance_pool.cc
@@ -390,8 +390,8 @@
     co_return reply;  // the batch failed and was rolled back, so there is nothing to confirm
   }
   const auto verdict = co_await Confirm(reply.position, true, settings_.confirm_timeout);
-  if (verdict != confirmation::Outcome::kConfirmed) {
-    const char* why = verdict == confirmation::Outcome::kSuperseded
+  if (verdict != confirmation::ConfirmationResult::kConfirmed) {
+    const char* why = verdict == confirmation::ConfirmationResult::kSuperseded
                           ? "the primary was replaced before its commit was confirmed"
                           : "no majority confirmed the commit in time";
     co_return Unknown(request, why);
--- a/src/pool/instance_pool.h
+++ b/src/pool/instance_pool.h
@@ -166,8 +166,9 @@
                                            bool already_recorded, common::Instant deadline);
   asio::awaitable<BatchReply> ExecuteAdmitted(SessionKey session, const BatchRequest& request,
                                               common::Instant deadline);
-  asio::awaitable<confirmation::Outcome> Confirm(common::Position position, bool position_needed,
-                                                 common::Duration limit);
+  asio::awaitable<confirmation::ConfirmationResult> Confirm(common::Position position,
+                                                            bool position_needed,
+                                                            common::Duration limit);
   void Settle(const std::vector<confirmation::Resolution>& resolutions);
   void Observe(const monitor::Observation& observation);
   asio::awaitable<void> WaitForFirstProbe(common::Instant deadline);
@@ -218,7 +219,7 @@
 
   confirmation::MajorityConfirmation confirmation_{1};
   confirmation::PendingNumber next_pending_ = 1;
-  std::map<confirmation::PendingNumber, std::pair<WaiterPointer, confirmation::Outcome>>
+  std::map<confirmation::PendingNumber, std::pair<WaiterPointer, confirmation::ConfirmationResult>>
       confirming_;
   std::map<std::string, WaiterPointer> confirmers_;  // by peer instance; wakes its coroutine
 };
--- a/src/pool/instance_pool_commit.cc
+++ b/src/pool/instance_pool_commit.cc
@@ -164,24 +164,26 @@
     if (found == confirming_.end()) {
       continue;
     }
-    counters_.superseded += resolution.outcome == confirmation::Outcome::kSuperseded ? 1 : 0;
-    found->second.second = resolution.outcome;
+    counters_.superseded +=
+        resolution.result == confirmation::ConfirmationResult::kSuperseded ? 1 : 0;
+    found->second.second = resolution.result;
     Wake(found->second.first, false);
   }
 }
 
-awaitable<confirmation::Outcome> InstancePool::Confirm(common::Position position,
-                                                       bool position_needed, Duration limit) {
+awaitable<confirmation::ConfirmationResult> InstancePool::Confirm(common::Position position,
+                                                                  bool position_needed,
+                                                                  Duration limit) {
   const confirmation::PendingNumber number = next_pending_++;
   const auto waiter = std::make_shared<Waiter>(loop_);
-  confirming_[number] = {waiter, confirmation::Outcome::kTimedOut};
+  confirming_[number] = {waiter, confirmation::ConfirmationResult::kTimedOut};
   Settle(confirmation_.Add(number, position, position_needed, SteadyNow() + limit));
   for (const auto& [peer, confirmer] : confirmers_) {
     Wake(confirmer, false);
   }
   co_await WaitOn(waiter, limit);
   Settle(confirmation_.Expire(SteadyNow()));
-  const confirmation::Outcome verdict = confirming_[number].second;
+  const confirmation::ConfirmationResult verdict = confirming_[number].second;
   confirming_.erase(number);
   co_return verdict;
 }
@@ -219,7 +221,7 @@
   reply.position = *position;
   const auto verdict = co_await Confirm(
       reply.position, false, std::min(settings_.confirm_timeout, Duration{request.budget_us}));
-  reply.confirmed = verdict == confirmation::Outcome::kConfirmed;
+  reply.confirmed = verdict == confirmation::ConfirmationResult::kConfirmed;
   reply.reason = reply.confirmed ? "" : "no majority confirmed the primary's term";
   co_return reply;
 }
--- a/src/routing/read_write_split.cc
+++ b/src/routing/read_write_split.cc
@@ -11,13 +11,13 @@
 namespace valvekeel::routing {
 namespace {
 
-/// Sort key of a replica: lower goes first.
+/// Sort key of a replica: the lowest goes first.
 using Rank = std::tuple<bool, bool, std::uint64_t, bool, bool, std::uint64_t>;
 
 Rank RankOf(const InstanceView& instance, const ReadRequirements& needs, common::Instant now) {
   const bool avoided = instance.avoid_until > now;
   const bool fresh = common::Covers(instance.replayed, needs.required);
-  // Among replicas that are behind, the one seen furthest ahead will be ready first.
+  // Among replicas that are behind, the one last seen furthest ahead is expected to catch up first.
   const std::uint64_t behind = fresh ? 0 : ~instance.replayed.lsn;
   const bool other = instance.id != needs.preferred;
   const bool far = instance.zone != needs.zone;
--- a/tests/failover/attempt_test.cc
+++ b/tests/failover/attempt_test.cc
@@ -15,7 +15,8 @@
 constexpr Instant kStart{10'000'000};
 constexpr Duration kStep{10'000};
 
-/// A group of a primary "p" of term 1 and replicas, with a record that is vacant.
+/// Runs an attempt for a group of a primary "p" of term 1 and two replicas, with no record in the
+/// store.
 class AttemptFixture {
  public:
   AttemptFixture() {
@@ -29,7 +30,7 @@
     leadership.OnRecordRead({}, 0, now);
   }
 
-  /// Advances and answers what can be answered. @return the actions of this step.
+  /// Advances the attempt and answers its actions. @return the actions of this step.
   std::vector<AttemptAction> Step() {
     const auto actions = attempt.Advance(view, now);
     for (const AttemptAction& action : actions) {
@@ -37,8 +38,8 @@
         const auto entry = write->write.record.attempts.find("group");
         const bool names_candidate =
             entry != write->write.record.attempts.end() && !entry->second.candidate.empty();
-        if (hold_record && names_candidate) {
-          held_record = write->write.record;
+        if (drop_record_answer && names_candidate) {
+          unanswered_record = write->write.record;
           continue;
         }
         const std::uint64_t revision = ++last_revision;
@@ -51,14 +52,14 @@
         promotions.push_back(*promotion);
         attempt.OnPromotionAnswer(promotion_answer);
       } else if (const auto* fence = std::get_if<RequestLeaseRelease>(&action)) {
-        announced = fence->replaced_term;
+        released_term = fence->replaced_term;
       }
     }
     now += kStep;
     return actions;
   }
 
-  /// Advances until the attempt has ended or the time is over.
+  /// Advances until the attempt has ended or the limit has passed.
   void RunFor(Duration limit) {
     const Instant end = now + limit;
     while (!attempt.Ended() && now < end) {
@@ -69,7 +70,7 @@
   void Answer(const SendControl& control) {
     const auto found = answers.find(control.instance);
     if (found == answers.end()) {
-      return;  // silent
+      return;  // unresponsive
     }
     model::InstanceStatus status = found->second;
     if (control.request.kind == model::ControlKind::kDemote) {
@@ -77,7 +78,7 @@
       found->second.primary = false;
     }
     if (control.request.kind == model::ControlKind::kPauseReplication && !status.primary) {
-      const bool kept = keep_higher_fence && status.fenced_term > control.request.term;
+      const bool kept = keeps_higher_fence && status.fenced_term > control.request.term;
       status.fenced_term = kept ? status.fenced_term : control.request.term;
     }
     if (control.request.kind == model::ControlKind::kStatus && !promotions.empty()) {
@@ -103,10 +104,10 @@
   std::vector<SendControl> controls;
   std::vector<RequestPromotion> promotions;
   PromotionStatus promotion_answer = PromotionStatus::kAccepted;
-  common::Term announced = 0;
-  bool keep_higher_fence = false;  // an instance refuses a fence below its own
-  bool hold_record = false;        // the write that names the candidate stays unanswered
-  std::optional<model::LeadershipRecord> held_record;
+  common::Term released_term = 0;
+  bool keeps_higher_fence = false;  // an instance ignores a fence below its own
+  bool drop_record_answer = false;  // the write that names the candidate gets no answer
+  std::optional<model::LeadershipRecord> unanswered_record;
 };
 
 }  // namespace
@@ -120,7 +121,7 @@
   REQUIRE(fixture.promotions.size() == 1);
   CHECK(fixture.promotions[0].candidate == "b");
   CHECK(fixture.promotions[0].token == 1);
-  CHECK(fixture.announced == 1);
+  CHECK(fixture.released_term == 1);
 }
 
 TEST_CASE("One fenced replica of two is not enough with one synchronous replica", "[failover]") {
@@ -129,7 +130,7 @@
   fixture.RunFor(Duration(10'000'000));
   CHECK(fixture.attempt.CurrentStep() == Step::kGivenUp);
   CHECK(fixture.promotions.empty());
-  // What was fenced is let go, or the primary could not commit any more.
+  // The fenced replica must be resumed, or the primary could not commit any more.
   CHECK(std::any_of(fixture.controls.begin(), fixture.controls.end(), [](const auto& control) {
     return control.instance == "a" &&
            control.request.kind == model::ControlKind::kResumeReplication;
@@ -138,7 +139,7 @@
 }
 
 TEST_CASE("Replicas count although the primary is neither known nor listed", "[failover]") {
-  // Found by a hunt: a daemon that had just started fenced one replica of two and promoted it.
+  // A daemon that had just started fenced one replica of two and promoted it.
   AttemptFixture fixture;
   fixture.view.term = 0;
   fixture.view.primary = "";
@@ -149,15 +150,16 @@
   CHECK_FALSE(Attempt::IsFeasible(fixture.view));
 }
 
-TEST_CASE("Replicas that only other daemons know count too", "[failover]") {
+TEST_CASE("Replicas reported only by other daemons count too", "[failover]") {
   AttemptFixture fixture;
   fixture.view.members = {{"p", false, false, false, false}, {"a", false, true, false, false}};
   fixture.view.reported_replicas = 2;
   CHECK_FALSE(Attempt::IsFeasible(fixture.view));
 }
 
-TEST_CASE("A candidate must hold what replicas that ended may have held alone", "[failover]") {
-  // Found on logwell scale-1: a leaving replica took the only copies of commits with it.
+TEST_CASE("A candidate must hold commits that only terminated replicas may have held",
+          "[failover]") {
+  // A replica that leaves may take the only copies of commits with it.
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 39})}};
@@ -167,7 +169,8 @@
   CHECK(fixture.attempt.CurrentStep() == Step::kGivenUp);
 }
 
-TEST_CASE("Daemons that have not let go are waited for, at most the lease time", "[failover]") {
+TEST_CASE("Daemons that have not released their lease are waited for, at most the lease time",
+          "[failover]") {
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 38})}};
@@ -178,29 +181,29 @@
   CHECK(fixture.promotions.size() == 1);
 }
 
-TEST_CASE("A later term found at a replica is told in the record before it is fenced",
+TEST_CASE("A later term found at a replica is recorded before the replica is fenced",
           "[failover]") {
   AttemptFixture fixture;
   model::InstanceStatus fenced = AttemptFixture::Replica({2, 50}, 2);
   fixture.answers = {{"a", fenced}, {"b", fenced}};
   fixture.RunFor(Duration(3'000'000));
   REQUIRE(fixture.promotions.size() == 1);
-  CHECK(fixture.announced == 2);
+  CHECK(fixture.released_term == 2);
   CHECK(fixture.leadership.Record().attempts.at("group").replaced_term == 2);
 }
 
-TEST_CASE("A fence that an earlier attempt left holds as well", "[failover]") {
+TEST_CASE("A fence left by an earlier attempt counts as well", "[failover]") {
   AttemptFixture fixture;
   model::InstanceStatus fenced = AttemptFixture::Replica({1, 50});
   fenced.fenced_term = 4;
   fixture.answers = {{"a", fenced}, {"b", AttemptFixture::Replica({1, 49})}};
-  fixture.keep_higher_fence = true;
+  fixture.keeps_higher_fence = true;
   fixture.RunFor(Duration(3'000'000));
   REQUIRE(fixture.promotions.size() == 1);
   CHECK(fixture.promotions[0].candidate == "a");
 }
 
-TEST_CASE("Nothing is promoted where another instance leads already", "[failover]") {
+TEST_CASE("Nothing is promoted if another instance already leads", "[failover]") {
   AttemptFixture fixture;
   model::InstanceStatus leader = AttemptFixture::Replica({2, 50}, 2);
   leader.primary = true;
@@ -210,7 +213,7 @@
   CHECK(fixture.attempt.CurrentStep() == Step::kFinished);
 }
 
-TEST_CASE("A candidate that does not run is replaced by the next, if that may be", "[failover]") {
+TEST_CASE("A candidate that does not run is replaced by the next eligible one", "[failover]") {
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 38})}};
@@ -220,25 +223,25 @@
   CHECK(fixture.promotions.size() <= 2);
 }
 
-TEST_CASE("No promotion is asked for once the time to act is over", "[failover]") {
+TEST_CASE("No promotion is requested after the action window", "[failover]") {
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 38})}};
-  fixture.hold_record = true;
+  fixture.drop_record_answer = true;
   fixture.RunFor(Duration(500'000));
-  REQUIRE(fixture.held_record);
-  // The write was done, but the daemon stood still before it read the answer.
+  REQUIRE(fixture.unanswered_record);
+  // The write was done, but the daemon was suspended before it read the answer.
   fixture.now += Duration(2'000'000);
   fixture.attempt.OnRecordWritten(fixture.leadership.OnWriteResult(
-      {WriteStatus::kWritten, 77, *fixture.held_record}, fixture.now));
+      {WriteStatus::kWritten, 77, *fixture.unanswered_record}, fixture.now));
   const auto after = fixture.attempt.Advance(fixture.view, fixture.now);
   for (const AttemptAction& action : after) {
     CHECK_FALSE(std::holds_alternative<RequestPromotion>(action));
   }
 }
 
-TEST_CASE("A replica that comes back unfenced is fenced before the promotion", "[failover]") {
-  // Found by the simulator, seed 27: it acknowledged commits of the old primary meanwhile.
+TEST_CASE("A replica that returns unfenced is fenced before the promotion", "[failover]") {
+  // Unfenced, it would acknowledge commits of the old primary.
   AttemptFixture fixture;
   fixture.view.members[2].terminated = true;
   fixture.view.unreleased_daemons = {"other"};
@@ -253,9 +256,9 @@
   }));
 }
 
-TEST_CASE("The old primary, back under an unknown id, is demoted and may lead again",
+TEST_CASE("The old primary, returned under an unknown id, is demoted and may lead again",
           "[failover]") {
-  // Found by the simulator, seed 360: all daemons had let go of its term, and it can't be fenced.
+  // All daemons have released the lease of its term, and it can't be fenced as a replica.
   AttemptFixture fixture;
   model::InstanceStatus returned = AttemptFixture::Replica({1, 99});
   returned.primary = true;
@@ -266,9 +269,9 @@
   CHECK(fixture.promotions[0].candidate == "a");
 }
 
-TEST_CASE("A primary of an earlier term that has come back is demoted and fenced", "[failover]") {
-  // Found by the simulator, drawn shape, seed 29: it refused each fence as a primary, two
-  // replacements before it had passed it by, and without it there were too few fences for good.
+TEST_CASE("A returned primary of an earlier term is demoted and fenced", "[failover]") {
+  // As a primary it refused every fence. Two earlier replacements had not reached it, and without
+  // it there were too few fences permanently.
   AttemptFixture fixture;
   fixture.view.term = 3;
   model::InstanceStatus returned = AttemptFixture::Replica({1, 30}, 1);
@@ -278,7 +281,7 @@
   CHECK(fixture.attempt.CurrentStep() == Step::kFinished);
   REQUIRE(fixture.promotions.size() == 1);
   CHECK(fixture.promotions[0].candidate == "b");
-  // It was not the replaced one: that may still have replicas that return to it.
+  // It was not the replaced primary: that one may still have replicas that would return to it.
   for (const SendControl& control : fixture.controls) {
     CHECK(control.request.kind != model::ControlKind::kResumeReplication);
   }
@@ -298,7 +301,7 @@
   CHECK(std::distance(fixture.controls.begin(), demotion) >= 2);
 }
 
-TEST_CASE("Of replicas with the same log the one that suits better leads", "[failover]") {
+TEST_CASE("Of replicas with the same log the fitter one is promoted", "[failover]") {
   AttemptFixture fixture;
   fixture.answers["a"] = AttemptFixture::Replica({1, 10});
   fixture.answers["b"] = AttemptFixture::Replica({1, 10});
@@ -308,7 +311,7 @@
   CHECK(fixture.promotions.front().candidate == "b");
 }
 
-TEST_CASE("A replica that suits badly leads rather than a commit is lost", "[failover]") {
+TEST_CASE("An unfit replica is promoted if a fitter one lacks a commit", "[failover]") {
   AttemptFixture fixture;
   fixture.answers["a"] = AttemptFixture::Replica({1, 11});
   fixture.answers["b"] = AttemptFixture::Replica({1, 10});
@@ -318,7 +321,7 @@
   CHECK(fixture.promotions.front().candidate == "a");
 }
 
-TEST_CASE("A planned replacement that makes nothing better is given up", "[failover]") {
+TEST_CASE("A planned replacement without a fitter candidate is given up", "[failover]") {
   AttemptFixture fixture;
   fixture.answers["a"] = AttemptFixture::Replica({1, 11});
   fixture.answers["b"] = AttemptFixture::Replica({1, 10});
@@ -331,15 +334,15 @@
 
 TEST_CASE("An attempt that is given up does not undo another's replacement of the same primary",
           "[failover]") {
-  // proxysim --regions, seed 146: cut off from the primary that another coordinator had promoted, a
-  // daemon gave up, took the record's entry away, and the old primary's lease was renewed (STALE).
+  // Guards against a stale read: a daemon that could not reach the primary promoted by another
+  // coordinator gave up and removed the record's entry, and the old primary's lease was renewed.
   AttemptFixture fixture;
   model::LeadershipRecord record;
   record.holder = "other.1";
   record.token = 4;
   record.attempts["group"] = {1, "b"};
   fixture.leadership.OnRecordRead(record, 1,
-                                  fixture.now - std::chrono::seconds(10));  // long vacant
+                                  fixture.now - std::chrono::seconds(10));  // may be taken over
   fixture.last_revision = 1;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})}};
   fixture.RunFor(Duration(10'000'000));
@@ -352,9 +355,9 @@
   }));
 }
 
-TEST_CASE("An attempt that is given up leaves word of the terms replaced before", "[failover]") {
-  // proxysim --regions --large, seed 1006: daemons cut off with an earlier term renewed its lease
-  // by a record that a given-up attempt had cleared (STALE).
+TEST_CASE("An attempt that is given up keeps the terms replaced before on record", "[failover]") {
+  // Guards against a stale read: daemons that were cut off with an earlier term renewed its lease
+  // because a given-up attempt had cleared the record's entry.
   AttemptFixture fixture;
   fixture.view.term = 3;
   fixture.answers = {{"a", AttemptFixture::Replica({3, 38}, 3)}};
@@ -364,10 +367,10 @@
   CHECK(fixture.leadership.Record().attempts.at("group").replaced_term == 2);
 }
 
-TEST_CASE("Whom an earlier replacement chose stays on record when the next is claimed",
+TEST_CASE("The candidate of an earlier replacement stays on record when the next is claimed",
           "[failover]") {
-  // Found by review: the claim of a second attempt cleared the name; if that attempt ended without
-  // a further write, the third took the old primary for one that nobody had replaced.
+  // If the claim of a second attempt clears the candidate and that attempt ends without a further
+  // write, the third attempt takes the old primary for one that was never replaced.
   AttemptFixture fixture;
   model::LeadershipRecord earlier;
   earlier.holder = "other.1";
@@ -386,8 +389,8 @@
   CHECK(claimed->attempts.at("group") == model::AttemptRecord{1, "b"});
 }
 
-TEST_CASE("A claim does not take back what the record tells of a later term", "[failover]") {
-  // This daemon knows term 1; another has replaced the primary of term 2 since.
+TEST_CASE("A claim does not overwrite a later term in the record", "[failover]") {
+  // This daemon knows term 1; another one has replaced the primary of term 2 since.
   AttemptFixture fixture;
   model::LeadershipRecord later;
   later.holder = "other.1";
@@ -406,7 +409,7 @@
   CHECK(claimed->attempts.at("group") == model::AttemptRecord{2, "b"});
 }
 
-TEST_CASE("A fenced replica that starts again is fenced and ranked anew", "[failover]") {
+TEST_CASE("A fenced replica that restarts is fenced and ranked again", "[failover]") {
   AttemptFixture fixture;
   fixture.view.unreleased_daemons = {"other"};
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
@@ -422,8 +425,7 @@
   CHECK(fixture.promotions[0].candidate == "a");
 }
 
-TEST_CASE("A candidate that starts again before it leads is not asked to lead again",
-          "[failover]") {
+TEST_CASE("A candidate that restarts before it leads is not promoted again", "[failover]") {
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 38})},
                      {"b", AttemptFixture::Replica({1, 90})}};
@@ -438,8 +440,7 @@
   CHECK(fixture.promotions[1].candidate == "a");
 }
 
-TEST_CASE("What a restarted replica held can't be fenced: nobody is promoted without it",
-          "[failover]") {
+TEST_CASE("The lost log of a restarted replica counts as an unfenced replica", "[failover]") {
   AttemptFixture fixture;
   fixture.answers = {{"a", AttemptFixture::Replica({1, 0})},
                      {"b", AttemptFixture::Replica({1, 90})}};
--- a/tests/group/read_lease_test.cc
+++ b/tests/group/read_lease_test.cc
@@ -11,7 +11,7 @@
 using common::Position;
 
 constexpr Instant kStart{10'000'000};
-constexpr std::size_t kThree = 3;
+constexpr std::size_t kMembers = 3;
 
 model::InstanceStatus Status(bool primary, common::Term term, common::Term fenced_term = 0) {
   model::InstanceStatus status;
@@ -22,9 +22,9 @@
 }
 
 /// A lease confirmed at kStart for instance "p" of term 1.
-ReadLease Confirmed() {
+ReadLease ConfirmedLease() {
   ReadLease lease;
-  const RoundNumber round = lease.StartRound(kThree, kStart);
+  const RoundNumber round = lease.StartRound(kMembers, kStart);
   REQUIRE_FALSE(lease.OnAnswer(round, "p", Status(true, 1)));
   REQUIRE(lease.OnAnswer(round, "a", Status(false, 1)));
   return lease;
@@ -32,17 +32,17 @@
 
 }  // namespace
 
-TEST_CASE("A majority's word gives the lease, counted from the question", "[group]") {
-  const ReadLease lease = Confirmed();
+TEST_CASE("A majority of answers gives the lease, counted from the start of the round", "[group]") {
+  const ReadLease lease = ConfirmedLease();
   CHECK(lease.Newest().primary == "p");
   CHECK(lease.Holds(kStart));
   CHECK(lease.Holds(kStart + kLeaseTime - common::Duration(1)));
   CHECK_FALSE(lease.Holds(kStart + kLeaseTime));
 }
 
-TEST_CASE("A fenced replica takes its vote from the lease", "[group]") {
+TEST_CASE("A fenced replica does not vote for the lease", "[group]") {
   ReadLease lease;
-  const RoundNumber round = lease.StartRound(kThree, kStart);
+  const RoundNumber round = lease.StartRound(kMembers, kStart);
   CHECK_FALSE(lease.OnAnswer(round, "p", Status(true, 1)));
   CHECK_FALSE(lease.OnAnswer(round, "a", Status(false, 1, 2)));
   CHECK(lease.OnAnswer(round, "b", Status(false, 1)));
@@ -50,16 +50,16 @@
 
 TEST_CASE("Replicas alone give no lease, nor does a primary alone", "[group]") {
   ReadLease lease;
-  const RoundNumber round = lease.StartRound(kThree, kStart);
+  const RoundNumber round = lease.StartRound(kMembers, kStart);
   CHECK_FALSE(lease.OnAnswer(round, "a", Status(false, 1)));
   CHECK_FALSE(lease.OnAnswer(round, "b", Status(false, 1)));
   ReadLease alone;
-  const RoundNumber other = alone.StartRound(kThree, kStart);
+  const RoundNumber other = alone.StartRound(kMembers, kStart);
   CHECK_FALSE(alone.OnAnswer(other, "p", Status(true, 1)));
 }
 
-TEST_CASE("A released term never comes back, the next one does", "[group]") {
-  ReadLease lease = Confirmed();
+TEST_CASE("A released term is never leased again, the next one is", "[group]") {
+  ReadLease lease = ConfirmedLease();
   lease.Release(1);
   CHECK_FALSE(lease.Holds(kStart));
   lease.Renew({1, "p", kStart + kLeaseTime});
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("An older confirmation or a lower term changes nothing", "[group]") {
-  ReadLease lease = Confirmed();
+  ReadLease lease = ConfirmedLease();
   lease.Renew({1, "p", kStart - common::Duration(1)});
   CHECK(lease.Newest().started == kStart);
   lease.Renew({2, "a", kStart});
@@ -78,41 +78,43 @@
   CHECK(lease.Newest().term == 2);
 }
 
-TEST_CASE("A primary with less than others have of its term gets no lease", "[group]") {
+TEST_CASE("A primary whose log is behind others of its term gets no lease", "[group]") {
   model::InstanceStatus empty = Status(true, 1);
   empty.received = {1, 0};
   model::InstanceStatus replica = Status(false, 1);
   replica.received = {1, 40};
   ReadLease fresh;
-  const RoundNumber round = fresh.StartRound(kThree, kStart);
+  const RoundNumber round = fresh.StartRound(kMembers, kStart);
   CHECK_FALSE(fresh.OnAnswer(round, "p", empty));
   CHECK_FALSE(fresh.OnAnswer(round, "a", replica));
 
-  // What was heard before a round started holds in it, also if only the primary had it.
+  // Positions reported before a round started are required in it, even if only the primary reported
+  // them.
   model::InstanceStatus primary = Status(true, 1);
   primary.received = {1, 90};
   ReadLease lease;
-  const RoundNumber first = lease.StartRound(kThree, kStart);
+  const RoundNumber first = lease.StartRound(kMembers, kStart);
   lease.OnAnswer(first, "p", primary);
   CHECK(lease.OnAnswer(first, "a", replica));
-  const RoundNumber second = lease.StartRound(kThree, kStart + common::Duration(1));
+  const RoundNumber second = lease.StartRound(kMembers, kStart + common::Duration(1));
   primary.received = {1, 60};
   CHECK_FALSE(lease.OnAnswer(second, "p", primary));
   CHECK_FALSE(lease.OnAnswer(second, "a", replica));
 }
 
-TEST_CASE("A replica that was ahead of a new primary does not keep the lease from it", "[group]") {
-  ReadLease lease = Confirmed();
+TEST_CASE("A replica ahead of a new primary in an earlier term does not prevent its lease",
+          "[group]") {
+  ReadLease lease = ConfirmedLease();
   model::InstanceStatus former = Status(false, 1);
   former.received = {1, 90};
   model::InstanceStatus promoted = Status(true, 2);
   promoted.received = {1, 60};
-  const RoundNumber round = lease.StartRound(kThree, kStart + common::Duration(1));
+  const RoundNumber round = lease.StartRound(kMembers, kStart + common::Duration(1));
   lease.OnAnswer(round, "a", former);
   CHECK(lease.OnAnswer(round, "b", promoted));
 }
 
-TEST_CASE("The lowest position that covers an instant is given", "[group]") {
+TEST_CASE("Covering returns the lowest position that covers a time", "[group]") {
   PositionHistory history;
   history.Add({kStart, Position{1, 10}});
   history.Add({kStart + common::Duration(100'000), Position{1, 20}});
@@ -122,7 +124,7 @@
   CHECK_FALSE(history.Covering(kStart + common::Duration(200'001)));
 }
 
-TEST_CASE("Another primary's lower position drops what was known before", "[group]") {
+TEST_CASE("A lower position of another primary drops the earlier samples", "[group]") {
   PositionHistory history;
   history.Add({kStart, Position{1, 30}});
   history.Add({kStart + common::Duration(100'000), Position{1, 20}});
--- a/tests/metadata/collection_follower_test.cc
+++ b/tests/metadata/collection_follower_test.cc
@@ -12,7 +12,7 @@
 using model::Collection;
 
 constexpr Duration kWait{2'000'000};
-constexpr Duration kLongest{2'000'000};
+constexpr Duration kLongestPause{2'000'000};
 
 CatalogObject Object(const std::string& name, std::uint64_t revision, bool gone = false) {
   return {name, revision, gone, std::monostate()};
@@ -26,7 +26,7 @@
 }
 
 /// A follower that has listed "a" and "b" at revision 10.
-CollectionFollower Listed() {
+CollectionFollower ListedFollower() {
   CollectionFollower follower(Collection::kInstances, kWait);
   const auto call = follower.Next(Instant(1));
   REQUIRE(call);
@@ -40,7 +40,7 @@
 }  // namespace
 
 TEST_CASE("A list is followed by watches from its revision, one call at a time", "[metadata]") {
-  CollectionFollower follower = Listed();
+  CollectionFollower follower = ListedFollower();
   const auto watch = follower.Next(Instant(3));
   REQUIRE(watch);
   CHECK(watch->after_revision == 10);
@@ -50,8 +50,9 @@
   CHECK(follower.Next(Instant(6))->after_revision == 12);
 }
 
-TEST_CASE("After a lost history the fresh list shows what has gone meanwhile", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("After the history is gone a fresh list shows the objects deleted meanwhile",
+          "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   follower.Next(Instant(3));
   CHECK(follower.OnAnswer({ReadStatus::kHistoryGone, 0, {}}, Instant(4), 0).empty());
   CHECK(follower.Connected());
@@ -64,11 +65,11 @@
   CHECK(changes[0].object.deleted);
 }
 
-TEST_CASE("The first list of a store that returned from an older copy is taken", "[metadata]") {
-  // A new route was refused for 5 s. The store had returned from a copy: its revisions had gone
-  // back, and an object that was written again, or newly, at a revision below the known one counted
-  // as an older state of itself.
-  CollectionFollower follower = Listed();
+TEST_CASE("The first list of a store restored from an older copy is applied", "[metadata]") {
+  // Guards against a new route refused for 5 s: after a restore from a copy the store's revisions
+  // had gone back, and an object written again, or
+  // for the first time, at a revision below the known one was ignored as older.
+  CollectionFollower follower = ListedFollower();
   follower.Next(Instant(3));
   CHECK(follower.OnAnswer({ReadStatus::kHistoryGone, 0, {}}, Instant(4), 0).empty());
   REQUIRE(follower.Next(Instant(5)));
@@ -78,10 +79,10 @@
                     [](const CatalogChange& change) { return change.object.name == "b"; }));
 }
 
-TEST_CASE("On news a list of a later history is taken whatever its revision", "[metadata]") {
-  // "configuration_in_force" of three versions was missing at daemons that list on news: others
-  // told of revisions 72 to 74 of the new history, and 74 was known of the former one.
-  CollectionFollower follower = Listed();
+TEST_CASE("On notification a list of a later era is applied whatever its revision", "[metadata]") {
+  // Guards against daemons that list on notification missing new versions: revisions 72 to 74 of
+  // the new era were reported to them, and 74 was already known of the former one.
+  CollectionFollower follower = ListedFollower();
   follower.SetPace({kWait, Duration(0), true, true});
   follower.RecordRevision(12);
   REQUIRE(follower.Next(Instant(4)));
@@ -91,8 +92,8 @@
                     [](const CatalogChange& change) { return change.object.name == "b"; }));
 }
 
-TEST_CASE("On news a list is read, first from what may be old", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("On notification a list is read, at first with stale answers allowed", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   follower.SetPace({kWait, Duration(0), true, true});
   CHECK_FALSE(follower.Next(Instant(3)));
   follower.RecordRevision(12);
@@ -100,15 +101,15 @@
   REQUIRE(list);
   CHECK_FALSE(list->after_revision);
   CHECK(list->allow_stale);
-  // An older state tells nothing, not even that something is gone.
+  // A stale list changes nothing; objects missing from it do not count as deleted.
   CHECK(follower.OnAnswer({ReadStatus::kOk, 9, {Object("a", 3)}}, Instant(5), 0).empty());
   Instant now(5);
   for (int i = 0; i < 2; ++i) {
-    now += kLongest;
+    now += kLongestPause;
     CHECK(follower.Next(now)->allow_stale);
     follower.OnAnswer({ReadStatus::kOk, 9, {}}, now, 0);
   }
-  now += kLongest;
+  now += kLongestPause;
   CHECK_FALSE(follower.Next(now)->allow_stale);
   const auto changes =
       follower.OnAnswer({ReadStatus::kOk, 12, {Object("a", 3), Object("b", 12)}}, now, 0);
@@ -117,28 +118,28 @@
   CHECK_FALSE(follower.Next(now));
 }
 
-TEST_CASE("Without news for long a list is read all the same", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("Without notifications a list is read after the watch wait", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   follower.SetPace({kWait, Duration(0), true, true});
   CHECK_FALSE(follower.Next(Instant(3)));
   CHECK(follower.Next(Instant(3) + kWait));
 }
 
 TEST_CASE("An older state of an object is never reported", "[metadata]") {
-  CollectionFollower follower = Listed();
+  CollectionFollower follower = ListedFollower();
   follower.Next(Instant(3));
   CHECK(follower.OnAnswer({ReadStatus::kOk, 12, {Object("b", 5)}}, Instant(4), 0).empty());
 }
 
-TEST_CASE("Failures are spread and bounded, and end with the first answer", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("Retries back off up to a bound until the first answer", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   Instant now(3);
   for (int failure = 0; failure < 10; ++failure) {
     REQUIRE(follower.Next(now));
     follower.OnAnswer({ReadStatus::kRefused, 0, {}}, now, 0.5);
     CHECK_FALSE(follower.Connected());
     CHECK_FALSE(follower.Next(now));
-    now += kLongest;
+    now += kLongestPause;
   }
   REQUIRE(follower.Next(now));
   follower.OnAnswer({ReadStatus::kOk, 11, {}}, now, 0.5);
@@ -146,8 +147,8 @@
   CHECK(follower.Next(now));
 }
 
-TEST_CASE("A pause after each answer lets changes gather", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("A pause after each answer batches changes", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   follower.SetPace({kWait, Duration(1'000)});
   REQUIRE(follower.Next(Instant(3)));
   follower.OnAnswer({ReadStatus::kOk, 11, {Object("a", 11)}}, Instant(4), 0);
@@ -156,7 +157,7 @@
 }
 
 TEST_CASE("A collection that is not followed makes no calls", "[metadata]") {
-  CollectionFollower follower = Listed();
+  CollectionFollower follower = ListedFollower();
   follower.SetPace({kWait, Duration(0), false});
   CHECK_FALSE(follower.Next(Instant(3)));
   follower.SetPace({kWait});
@@ -164,19 +165,19 @@
 }
 
 TEST_CASE("An abandoned call is followed by another", "[metadata]") {
-  CollectionFollower follower = Listed();
+  CollectionFollower follower = ListedFollower();
   REQUIRE(follower.Next(Instant(3)));
   CHECK_FALSE(follower.Next(Instant(4)));
   follower.Abandon();
   CHECK(follower.Next(Instant(4)));
 }
 
-TEST_CASE("A refresh lists the newest state at once, then the watches go on", "[metadata]") {
-  CollectionFollower follower = Listed();
-  follower.SetPace({kWait, kLongest});
+TEST_CASE("A refresh lists the newest state at once, then watches continue", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
+  follower.SetPace({kWait, kLongestPause});
   follower.Next(Instant(3));
   follower.OnAnswer({ReadStatus::kOk, 11, {}}, Instant(4), 0);
-  REQUIRE_FALSE(follower.Next(Instant(5)));  // changes gather
+  REQUIRE_FALSE(follower.Next(Instant(5)));  // changes are batched
   CHECK_FALSE(follower.FreshAsOf());
   follower.Refresh();
   const auto list = follower.Next(Instant(6));
@@ -186,11 +187,11 @@
   follower.OnAnswer({ReadStatus::kOk, 12, {Object("a", 12)}}, Instant(9), 0);
   CHECK(follower.FreshAsOf() == Instant(6));
   CHECK_FALSE(follower.Refreshing());
-  CHECK(follower.Next(Instant(9) + kLongest)->after_revision == 12);
+  CHECK(follower.Next(Instant(9) + kLongestPause)->after_revision == 12);
 }
 
-TEST_CASE("A refresh that the store does not answer is tried again", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("A refresh that the store does not answer is retried", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   follower.Refresh();
   REQUIRE(follower.Next(Instant(3)));
   follower.OnAnswer({ReadStatus::kNoAnswer, 0, {}}, Instant(4), 0);
@@ -201,18 +202,18 @@
   CHECK_FALSE(list->allow_stale);
 }
 
-TEST_CASE("A watch shows the present once it could have brought what was missed", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("A watch is current once it had time to deliver missed changes", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   CHECK_FALSE(follower.WatchIsCurrent(Instant(3)));
   follower.Next(Instant(3));
   CHECK_FALSE(follower.WatchIsCurrent(Instant(4)));
   CHECK(follower.WatchIsCurrent(Instant(500'000)));
-  follower.SetPace({kWait, kLongest});
+  follower.SetPace({kWait, kLongestPause});
   CHECK_FALSE(follower.WatchIsCurrent(Instant(500'000)));
 }
 
-TEST_CASE("What is shown counts from the sending of the newest answered call", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("CompleteAsOf is the time at which the newest answered call was sent", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   CHECK(follower.CompleteAsOf() == Instant(1));
   REQUIRE(follower.Next(Instant(3)));
   follower.OnAnswer({ReadStatus::kOk, 12, {}}, Instant(900), 0);
@@ -222,7 +223,7 @@
   CHECK(follower.CompleteAsOf() == Instant(3));
 }
 
-TEST_CASE("A list that may be old shows nothing", "[metadata]") {
+TEST_CASE("A list that may be stale does not set CompleteAsOf", "[metadata]") {
   CollectionFollower follower(Collection::kInstances, kWait);
   follower.AllowStaleFirstList();
   REQUIRE(follower.Next(Instant(1)));
@@ -230,10 +231,11 @@
   CHECK_FALSE(follower.CompleteAsOf());
 }
 
-TEST_CASE("A watch that takes up after a rest is no sign that the store is reached", "[metadata]") {
-  // Found on the bench: daemons behind a cut began to follow, and took the list of their first
+TEST_CASE("A watch that starts after a break does not show that the store is reachable",
+          "[metadata]") {
+  // Guards against daemons behind a partition that begin to follow and take the list of their first
   // second for the newest.
-  CollectionFollower follower = Listed();
+  CollectionFollower follower = ListedFollower();
   follower.SetPaused(true);
   CHECK_FALSE(follower.Next(Instant(3)));
   follower.SetPaused(false);
@@ -245,13 +247,13 @@
   CHECK(follower.WatchIsCurrent(later + Duration(500'000)));
 }
 
-TEST_CASE("One change is heard at once, many in a row gather", "[metadata]") {
-  CollectionFollower follower = Listed();
+TEST_CASE("A single change is reported at once, a burst is batched", "[metadata]") {
+  CollectionFollower follower = ListedFollower();
   const Duration apart(8'000);
   Instant now(10'000'000);
   std::uint64_t revision = 10;
   std::size_t calls = 0;
-  // A thousand changes in 8 s, as when all instances start.
+  // 1000 changes in 8 s, as when all instances start.
   for (std::uint64_t change = 0; change < 1'000; ++change) {
     now += apart;
     if (follower.Next(now)) {
@@ -261,7 +263,7 @@
     }
   }
   CHECK(calls < 50);
-  // After a rest the next one is heard at once again.
+  // After a break the next change is reported at once again.
   now += Duration(5'000'000);
   REQUIRE(follower.Next(now));
   ++revision;
