--- a/src/failover/leadership.h
+++ b/src/failover/leadership.h
@@ -107,7 +107,7 @@
   common::Instant changed_at_{0};
   bool write_in_progress_ = false;
   std::string write_nonce_;
-  common::Instant write_sent_at_{0};  // of the write in progress
+  common::Instant write_sent_at_{0};  // first sending of the write in progress, not a repetition
   common::Instant may_act_until_{0};
   std::uint64_t write_count_ = 0;
 };
--- a/src/metadata/collection_follower.h
+++ b/src/metadata/collection_follower.h
@@ -44,7 +44,7 @@
   ReadStatus status = ReadStatus::kNoAnswer;
   model::Revision revision;  // of the store; its era is set whatever the status
   std::vector<model::CatalogObject> objects;
-  std::size_t unreadable_names = 0;  // objects skipped because their name can't be read
+  std::size_t unreadable_names = 0;  // objects skipped for that; the others are complete
 };
 
 /// A change of an object that the follower did not know of yet.
@@ -99,11 +99,12 @@
   /// @return true while a watch reports each change as it is made.
   bool WatchIsCurrent(common::Instant now) const;
 
-  /// @return the time as of which the newest list requested by Refresh is current, at least.
+  /// @return the time at which the newest list that Refresh has brought was requested; its state is
+  /// of this time or later.
   std::optional<common::Instant> FreshAsOf() const { return refreshed_as_of_; }
 
-  /// @return the time as of which the store's answers are complete, at least: the time at which the
-  /// newest answered call was sent, not counting lists that may be stale.
+  /// @return the time as of which the store's answers have shown all objects, or an earlier one:
+  /// the time at which the newest answered call was sent, not counting lists that may be stale.
   std::optional<common::Instant> CompleteAsOf() const { return complete_as_of_; }
 
   /// @return true if a list requested by Refresh has not arrived yet.
