--- a/src/host/metrics.cc
+++ b/src/host/metrics.cc
@@ -113,7 +113,7 @@
         static_cast<double>(counters.resent_reads));
   TenantGauges(proxy, now);
   EvacuationGauges(proxy, now);
-  for (const auto& [reason, count] : counters.barred) {
+  for (const auto& [reason, count] : counters.blocked) {
     Gauge("valvekeel_barred_total",
           "Requests refused and transactions rolled back for want of an instance that may run them",
           {{"reason", reason}}, static_cast<double>(count));
@@ -137,11 +137,11 @@
   Gauge("valvekeel_sessions", "Callers' sessions", {},
         static_cast<double>(proxy.Dispatch().SessionCount()));
   Gauge("valvekeel_waiting", "Statements waiting for an instance", {},
-        static_cast<double>(proxy.Dispatch().WaitingCount()));
+        static_cast<double>(proxy.Dispatch().QueuedCount()));
   const std::string refused_waiting = "valvekeel_refused_waiting_total";
   const std::string help = "Statements refused that waited for an instance";
   Gauge(refused_waiting, help, {{"reason", "early"}}, static_cast<double>(counters.refused_early));
-  for (const auto& [reason, count] : counters.held_in_vain) {
+  for (const auto& [reason, count] : counters.refused_at_queue_deadline) {
     Gauge(refused_waiting, help, {{"reason", reason}}, static_cast<double>(count));
   }
   const relay::relay_counters& relayed = proxy.Relay().Sessions().counters();
@@ -157,7 +157,7 @@
         static_cast<double>(relayed.moved));
   Gauge("valvekeel_sessions_outside_regions_total", "Sessions that no region may run", {},
         static_cast<double>(proxy.Relay().RefusedOutside()));
-  for (const auto& [reason, count] : counters.barred) {
+  for (const auto& [reason, count] : counters.blocked) {
     Gauge("valvekeel_barred_total", "Requests refused or ended by rules on where work may run",
           {{"reason", reason}}, static_cast<double>(count));
   }
--- a/src/proxy/caller_session.h
+++ b/src/proxy/caller_session.h
@@ -29,45 +29,45 @@
 };
 
 enum class OperationPhase : std::uint8_t {
-  kWaiting,    // for an instance that can take it
+  kQueued,     // for an instance that can take it
   kPreparing,  // the connection is being brought to the session's state
   kRunning,    // the caller's own text was sent
 };
 
 /// The command in progress.
 struct Operation {
-  CallerCommand caller;
+  CallerCommand caller_command;
   model::Route route;
   common::Instant arrived{0};
-  common::Instant deadline{0};    // when the statement's time is over
-  common::Instant hold_until{0};  // refused if no instance was found by then
-  common::Instant not_before{0};  // pause after an instance refused it
-  OperationPhase phase = OperationPhase::kWaiting;
+  common::Instant deadline{0};        // when the statement's time is over
+  common::Instant queue_deadline{0};  // refused if no instance was found by then
+  common::Instant not_before{0};      // pause after an instance refused it
+  OperationPhase phase = OperationPhase::kQueued;
   std::string instance;
   ConnectionNumber connection = 0;
   common::Instant sent{0};
-  std::string tenant;                        // for whom it runs; set when it is placed
-  std::optional<ConnectionNumber> opening;   // connection that was asked for it
-  std::size_t preparations = 0;              // not answered yet
-  std::optional<common::Position> required;  // that the instance's log must hold
+  std::string tenant;                                  // for whom it runs; set when it is placed
+  std::optional<ConnectionNumber> opening_connection;  // connection that was asked for it
+  std::size_t unanswered_preparations = 0;             // not answered yet
+  std::optional<common::Position> required_position;   // that the instance's log must hold
   std::uint32_t attempts = 0;
-  std::uint32_t resends = 0;         // for want of an answer
-  common::Duration required_age{0};  // of the newest commit that `required` covers
-  bool required_own = false;         // it is the session's own commit
-  std::set<std::string> avoided;     // instances that could not serve it
+  std::uint32_t resends = 0;                  // for want of an answer
+  common::Duration required_position_age{0};  // of the newest commit that `required` covers
+  bool required_is_own_commit = false;        // it is the session's own commit
+  std::set<std::string> avoided_instances;    // instances that could not serve it
   const char* last_refusal = "no instance";
-  bool waits_for_room = false;               // and for nothing else, when it was last tried
-  std::optional<common::Duration> forecast;  // of its wait, when it was refused
+  bool waits_only_for_slot = false;               // and for nothing else, when it was last tried
+  std::optional<common::Duration> expected_wait;  // of its wait, when it was refused
 };
 
 struct Transaction {
   bool open = false;
   bool read_only = false;
-  bool failed = false;  // only its end is taken
-  bool ran = false;     // a statement has run in it
-  bool wrote = false;   // a write has run in it
-  bool barred = false;  // its instance closed while a statement ran there
-  std::string begin_id;
+  bool failed = false;             // only its end is taken
+  bool has_run_statement = false;  // a statement has run in it
+  bool has_written = false;        // a write has run in it
+  bool instance_closed = false;    // its instance closed while a statement ran there
+  std::string begin_request_id;
   model::Route route;
   common::Instant began{0};
   common::Instant last_active{0};
@@ -81,17 +81,17 @@
   std::string database;
   tenants::key_digest key;  // by which the caller is known
   bool accepted = false;
-  bool handed_over = false;                     // by another daemon
-  bool takes_goodbye = false;                   // that daemon ends it as it rests if asked to
-  std::optional<common::Instant> asked_to_end;  // when the daemon was asked to
+  bool handed_over = false;                         // by another daemon
+  bool accepts_end_request = false;                 // that daemon ends it as it rests if asked to
+  std::optional<common::Instant> end_requested_at;  // when the daemon was asked to
   common::Instant started{0};
-  bool has_spoken = false;           // a command of it came
+  bool received_command = false;     // a command of it came
   const char* end_reason = nullptr;  // why it ends at once: nothing more of it runs
   SessionValues values;
   std::map<std::string, model::PreparedStatement> prepared;
   Transaction transaction;
   std::optional<Operation> operation;
-  std::deque<CallerCommand> queue;
+  std::deque<CallerCommand> pending_commands;
   common::Position own_commit;  // last acknowledged commit of the session
   common::Instant own_commit_at{0};
   /// Arrival of the first of the operations that were refused since the last success.
--- a/src/proxy/dispatcher.cc
+++ b/src/proxy/dispatcher.cc
@@ -27,27 +27,27 @@
 void Dispatcher::SetConfiguration(const model::Configuration* configuration, common::Instant now) {
   configuration_ = configuration;
   if (configuration != nullptr) {
-    waiting_.set_tenants(configuration->tenants);
+    queues_.set_tenants(configuration->tenants);
   }
-  const std::set<SessionNumber> starting = std::exchange(starting_, {});
+  const std::set<SessionNumber> starting = std::exchange(awaiting_configuration_, {});
   for (const SessionNumber number : starting) {
-    const Session session = *Find(number);
+    const Session session = *FindSession(number);
     sessions_.erase(number);
     SessionStarted(number, session.database, session.key, now);
     if (session.handed_over) {
-      NoteHandedOver(number, session.takes_goodbye);
+      RecordHandover(number, session.accepts_end_request);
     }
   }
 }
 
-void Dispatcher::NoteHandedOver(SessionNumber number, bool takes_goodbye) {
-  if (Session* session = Find(number)) {
+void Dispatcher::RecordHandover(SessionNumber number, bool takes_goodbye) {
+  if (Session* session = FindSession(number)) {
     session->handed_over = true;
-    session->takes_goodbye = takes_goodbye;
+    session->accepts_end_request = takes_goodbye;
   }
 }
 
-Dispatcher::Session* Dispatcher::Find(SessionNumber number) {
+Dispatcher::Session* Dispatcher::FindSession(SessionNumber number) {
   const auto found = sessions_.find(number);
   return found == sessions_.end() ? nullptr : &found->second;
 }
@@ -68,7 +68,7 @@
   session.key = key;
   session.started = now;
   if (configuration_ == nullptr) {
-    starting_.insert(number);
+    awaiting_configuration_.insert(number);
     sessions_.emplace(number, std::move(session));
     return;
   }
@@ -90,75 +90,75 @@
 
 void Dispatcher::CommandReceived(SessionNumber number, const CallerCommand& command,
                                  common::Instant now) {
-  Session* session = Find(number);
+  Session* session = FindSession(number);
   if (session == nullptr) {
     return;
   }
   ++counters_.commands;
-  session->has_spoken = true;
+  session->received_command = true;
   if (session->operation || !session->accepted) {
-    if (session->queue.size() >= kMostQueuedCommands) {
+    if (session->pending_commands.size() >= kMostQueuedCommands) {
       outbox_.Emit(
           CloseSession{number, true, model::ErrorCode::kMalformed, "too many commands at once"});
       SessionClosed(number, now);
       return;
     }
-    session->queue.push_back(command);
+    session->pending_commands.push_back(command);
     return;
   }
-  reading_ = true;
-  Run(*session, command, now);
-  TakeNext(*session, now);
-  reading_ = false;
+  in_command_received_ = true;
+  RunCommand(*session, command, now);
+  RunPendingCommands(*session, now);
+  in_command_received_ = false;
 }
 
-void Dispatcher::TakeNext(Session& session, common::Instant now) {
+void Dispatcher::RunPendingCommands(Session& session, common::Instant now) {
   const SessionNumber number = session.number;
-  while (Session* current = Find(number)) {
-    if (current->operation || current->queue.empty()) {
+  while (Session* current = FindSession(number)) {
+    if (current->operation || current->pending_commands.empty()) {
       break;
     }
-    const CallerCommand command = std::move(current->queue.front());
-    current->queue.pop_front();
+    const CallerCommand command = std::move(current->pending_commands.front());
+    current->pending_commands.pop_front();
     if (current->end_reason != nullptr) {
       AnswerError(*current, model::ErrorCode::kBusy, NotRun(current->end_reason));
     } else {
-      Run(*current, command, now);
+      RunCommand(*current, command, now);
     }
   }
-  Session* current = Find(number);
+  Session* current = FindSession(number);
   const bool rests = current != nullptr && !current->operation && !current->transaction.open;
   // What was read with the last command comes next, and the tick ends the session then; else the
   // daemon that handed it over does, or who is ending it already.
-  const bool left_to_others =
-      reading_ || current == nullptr || current->takes_goodbye || current->end_reason != nullptr;
-  if (closing_ && rests && !left_to_others) {
+  const bool left_to_others = in_command_received_ || current == nullptr ||
+                              current->accepts_end_request || current->end_reason != nullptr;
+  if (draining_ && rests && !left_to_others) {
     outbox_.Emit(CloseSession{number});
     SessionClosed(number, now);
   }
 }
 
 void Dispatcher::SessionClosed(SessionNumber number, common::Instant now) {
-  Session* session = Find(number);
+  Session* session = FindSession(number);
   if (session == nullptr) {
     return;
   }
   if (session->operation) {
-    Abandon(*session, now);
+    AbandonSentRequest(*session, now);
     session->operation.reset();
   }
   EndTransaction(*session, now);
-  waiting_.remove(number);
-  starting_.erase(number);
+  queues_.remove(number);
+  awaiting_configuration_.erase(number);
   sessions_.erase(number);
 }
 
-void Dispatcher::Run(Session& session, const CallerCommand& command, common::Instant now) {
+void Dispatcher::RunCommand(Session& session, const CallerCommand& command, common::Instant now) {
   session.transaction.last_active = now;
   switch (command.command.kind) {
     case model::CommandKind::kBegin:
     case model::CommandKind::kBeginReadOnly:
-      Begin(session, command, now);
+      BeginTransaction(session, command, now);
       return;
     case model::CommandKind::kRollback:
       Rollback(session, now);
@@ -176,7 +176,7 @@
     case model::CommandKind::kWrite:
     case model::CommandKind::kExecute:
     case model::CommandKind::kCommit:
-      RunOnData(session, command, now);
+      CreateOperation(session, command, now);
       return;
     case model::CommandKind::kInvalid:
       AnswerError(session, model::ErrorCode::kMalformed, "unknown command");
@@ -184,7 +184,8 @@
   }
 }
 
-void Dispatcher::Begin(Session& session, const CallerCommand& command, common::Instant now) {
+void Dispatcher::BeginTransaction(Session& session, const CallerCommand& command,
+                                  common::Instant now) {
   if (session.transaction.open) {
     AnswerError(session, model::ErrorCode::kMalformed, "a transaction is open");
     return;
@@ -203,7 +204,7 @@
   transaction = Transaction{};
   transaction.open = true;
   transaction.read_only = command.command.kind == model::CommandKind::kBeginReadOnly;
-  transaction.begin_id = command.request_id;
+  transaction.begin_request_id = command.request_id;
   transaction.route = *route;
   transaction.tenant = *tenant;
   transaction.began = now;
@@ -238,7 +239,8 @@
   AnswerLocally(session);
 }
 
-void Dispatcher::RunOnData(Session& session, const CallerCommand& command, common::Instant now) {
+void Dispatcher::CreateOperation(Session& session, const CallerCommand& command,
+                                 common::Instant now) {
   const Transaction& transaction = session.transaction;
   const model::CommandKind kind = command.command.kind;
   const bool commits = kind == model::CommandKind::kCommit;
@@ -267,27 +269,27 @@
     return;
   }
   if (transaction.open) {
-    if (!ContinuesForTenant(session, command, now)) {
+    if (!CheckTransactionTenant(session, command, now)) {
       return;
     }
   } else if (!AdmitOperation(session, command, *route, now)) {
     return;
   }
   Operation operation;
-  operation.caller = command;
+  operation.caller_command = command;
   operation.route = *route;
   operation.arrived = now;
   operation.deadline = now + route->timeout;
-  operation.hold_until =
+  operation.queue_deadline =
       now + common::Duration(static_cast<std::int64_t>(
                 settings_.hold_fraction * static_cast<double>(route->target_latency.count())));
   session.operation = std::move(operation);
   if (!TryStart(session, now)) {
-    JoinQueue(session);
+    Enqueue(session);
   }
 }
 
-model::TransactionState Dispatcher::StateOf(const Session& session) const {
+model::TransactionState Dispatcher::TransactionStateOf(const Session& session) const {
   if (!session.transaction.open) {
     return model::TransactionState::kIdle;
   }
@@ -299,7 +301,7 @@
   model::Reply reply;
   reply.succeeded = true;
   reply.signature = "-";
-  reply.state = StateOf(session);
+  reply.state = TransactionStateOf(session);
   outbox_.Emit(AnswerCaller{session.number, std::move(reply), std::nullopt});
 }
 
@@ -311,40 +313,40 @@
   model::Reply reply;
   reply.error = code;
   reply.error_text = text;
-  reply.state = StateOf(session);
+  reply.state = TransactionStateOf(session);
   outbox_.Emit(AnswerCaller{session.number, std::move(reply), std::nullopt});
 }
 
 void Dispatcher::FinishWithError(Session& session, model::ErrorCode code, const std::string& reason,
                                  common::Instant now) {
-  ObserveOperation(session, *session.operation, now);
+  ReportOperation(session, *session.operation, now);
   const Operation operation = std::move(*session.operation);
   session.operation.reset();
-  waiting_.remove(session.number);
+  queues_.remove(session.number);
   const GroupState* group = groups_.Find(operation.route.service);
   outbox_.Log(
       "request_failed",
-      {{"request", operation.caller.request_id},
+      {{"request", operation.caller_command.request_id},
        {"error", model::ErrorCodeName(code)},
        {"reason", reason},
        {"service", operation.route.service},
        {"instance", operation.instance},
        {"attempts", std::to_string(operation.attempts)},
        {"held_ms", Milliseconds(now - operation.arrived)},
-       {"forecast_ms", operation.forecast ? Milliseconds(*operation.forecast) : ""},
+       {"forecast_ms", operation.expected_wait ? Milliseconds(*operation.expected_wait) : ""},
        {"term", group == nullptr ? "" : std::to_string(group->lease.Newest().term)},
        {"lease_age_ms", group == nullptr ? "" : Milliseconds(now - group->lease.Newest().started)}},
       LogLevel::kWarning);
-  if (operation.caller.command.kind == model::CommandKind::kCommit) {
+  if (operation.caller_command.command.kind == model::CommandKind::kCommit) {
     EndTransaction(session, now);
   }
   AnswerError(session, code, reason);
-  TakeNext(session, now);
+  RunPendingCommands(session, now);
 }
 
 void Dispatcher::FinishWithReply(Session& session, const model::Reply& reply, common::Instant now) {
   const Operation& operation = *session.operation;
-  ObserveOperation(session, operation, now);
+  ReportOperation(session, operation, now);
   const StatementTimes times{operation.route.consistency, operation.sent - operation.arrived,
                              now - operation.sent};
   session.operation.reset();
@@ -356,7 +358,7 @@
   }
   session.transaction.last_active = now;
   outbox_.Emit(AnswerCaller{session.number, reply, times});
-  TakeNext(session, now);
+  RunPendingCommands(session, now);
 }
 
 void Dispatcher::EndTransaction(Session& session, common::Instant now) {
@@ -367,7 +369,7 @@
   Backend* backend = backends_.Find(transaction.instance);
   Connection* connection = backend == nullptr ? nullptr : backend->Find(*transaction.connection);
   if (connection != nullptr) {
-    LeaveConnection(transaction, *backend, *connection, now);
+    ReleaseOrCloseConnection(transaction, *backend, *connection, now);
   }
 }
 
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -13,8 +13,8 @@
   return {operation.route, operation.tenant, continues};
 }
 
-std::optional<access::answer> Dispatcher::BarredWithin(const Session& session,
-                                                       common::Instant now) {
+std::optional<access::answer> Dispatcher::BlockingAnswerInTransaction(const Session& session,
+                                                                      common::Instant now) {
   const Transaction& transaction = session.transaction;
   const Backend* backend = backends_.Find(transaction.instance);
   if (backend == nullptr) {
@@ -25,7 +25,8 @@
   return answer.outcome >= access::verdict::later ? std::optional(answer) : std::nullopt;
 }
 
-std::optional<access::answer> Dispatcher::Barred(const Session& session, common::Instant now) {
+std::optional<access::answer> Dispatcher::BlockingAnswer(const Session& session,
+                                                         common::Instant now) {
   const access::work work = WorkOf(session);
   const std::string& service = session.operation->route.service;
   if (NeedsPrimary(session)) {
@@ -59,19 +60,21 @@
   return soonest;
 }
 
-bool Dispatcher::RefuseBarred(Session& session, common::Instant now) {
+bool Dispatcher::RefuseBlocked(Session& session, common::Instant now) {
   const bool pinned = session.transaction.open && session.transaction.connection.has_value();
-  const auto barred = pinned ? BarredWithin(session, now) : Barred(session, now);
+  const auto barred =
+      pinned ? BlockingAnswerInTransaction(session, now) : BlockingAnswer(session, now);
   if (!barred) {
     return false;
   }
   const Operation& operation = *session.operation;
-  const bool in_time = barred->outcome == access::verdict::later &&
-                       now + barred->come_back < std::min(operation.hold_until, operation.deadline);
+  const bool in_time =
+      barred->outcome == access::verdict::later &&
+      now + barred->come_back < std::min(operation.queue_deadline, operation.deadline);
   if (in_time) {
     return false;
   }
-  ++counters_.barred[barred->reason];
+  ++counters_.blocked[barred->reason];
   if (pinned) {
     FailTransaction(session, now);
   }
@@ -80,43 +83,44 @@
   return true;
 }
 
-void Dispatcher::EndBarredTransaction(Session& session, common::Instant now) {
+void Dispatcher::EndBlockedTransaction(Session& session, common::Instant now) {
   Transaction& transaction = session.transaction;
   // One that has failed keeps its connection until its caller ends it.
   if (!transaction.open || !transaction.connection) {
     return;
   }
-  const auto barred = BarredWithin(session, now);
+  const auto barred = BlockingAnswerInTransaction(session, now);
   if (!barred || barred->outcome != access::verdict::closed) {
     return;
   }
-  ++counters_.barred[barred->reason];
+  ++counters_.blocked[barred->reason];
   outbox_.Log("transaction_barred",
-              {{"request", transaction.begin_id},
+              {{"request", transaction.begin_request_id},
                {"instance", transaction.instance},
                {"reason", barred->reason}},
               LogLevel::kWarning);
   FailTransaction(session, now);
 }
 
-bool Dispatcher::Closed(const std::string& instance, const model::Route& route,
-                        const std::string& tenant, common::Instant now) {
+bool Dispatcher::IsInstanceClosed(const std::string& instance, const model::Route& route,
+                                  const std::string& tenant, common::Instant now) {
   const Backend* backend = backends_.Find(instance);
   return backend != nullptr &&
          access_.judge(backend->Entry(), {route, tenant, true}, now).outcome ==
              access::verdict::closed;
 }
 
-void Dispatcher::NoteBarredRunning(Session& session, common::Instant now) {
+void Dispatcher::RecordInstanceClosed(Session& session, common::Instant now) {
   Transaction& transaction = session.transaction;
-  if (transaction.open && transaction.connection && !transaction.barred) {
-    transaction.barred = Closed(transaction.instance, transaction.route, transaction.tenant, now);
+  if (transaction.open && transaction.connection && !transaction.instance_closed) {
+    transaction.instance_closed =
+        IsInstanceClosed(transaction.instance, transaction.route, transaction.tenant, now);
   }
 }
 
-void Dispatcher::LeaveConnection(const Transaction& transaction, Backend& backend,
-                                 Connection& connection, common::Instant now) {
-  if (transaction.barred) {
+void Dispatcher::ReleaseOrCloseConnection(const Transaction& transaction, Backend& backend,
+                                          Connection& connection, common::Instant now) {
+  if (transaction.instance_closed) {
     // A ROLLBACK may come too late by now; the end of the connection is none of the instance's
     // work.
     backends_.Close(backend, connection.number);
@@ -125,9 +129,9 @@
   backends_.Release(backend, connection, now);
 }
 
-void Dispatcher::SendWork(Backend& backend, Connection& connection,
-                          std::vector<model::InstanceRequest> requests, Purpose purpose,
-                          common::Instant now) {
+void Dispatcher::SendAndCountRequests(Backend& backend, Connection& connection,
+                                      std::vector<model::InstanceRequest> requests, Purpose purpose,
+                                      common::Instant now) {
   // A statement that follows its preparation is counted with it: nothing is asked in between.
   const std::size_t following = purpose == Purpose::kPreparation ? 1 : 0;
   access_.note_sent(backend.Entry(), requests.size() + following, now);
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 bool Dispatcher::IsWrite(const Session& session) const {
-  const model::Command& command = session.operation->caller.command;
+  const model::Command& command = session.operation->caller_command.command;
   if (command.kind == model::CommandKind::kWrite) {
     return true;
   }
@@ -36,8 +36,8 @@
 
 bool Dispatcher::WouldCommit(const Session& session) const {
   if (session.transaction.open) {
-    return session.operation->caller.command.kind == model::CommandKind::kCommit &&
-           session.transaction.wrote;
+    return session.operation->caller_command.command.kind == model::CommandKind::kCommit &&
+           session.transaction.has_written;
   }
   return IsWrite(session);
 }
@@ -58,7 +58,7 @@
   return IsWrite(session);
 }
 
-std::vector<Placement> Dispatcher::Places(const Session& session, common::Instant now) {
+std::vector<Placement> Dispatcher::FindPlacements(const Session& session, common::Instant now) {
   const Operation& operation = *session.operation;
   const std::string& service = operation.route.service;
   const std::string primary = groups_.UsablePrimary(service, now);
@@ -83,35 +83,35 @@
                                now);
 }
 
-void Dispatcher::OnCapacity(common::Instant now) { Pump(now); }
+void Dispatcher::OnCapacity(common::Instant now) { StartQueuedOperations(now); }
 
-void Dispatcher::Pump(common::Instant now) {
-  pump_again_ = true;
-  if (pumping_ || ended_) {
+void Dispatcher::StartQueuedOperations(common::Instant now) {
+  start_queued_again_ = true;
+  if (starting_queued_ || stopped_) {
     return;
   }
-  pumping_ = true;
-  while (std::exchange(pump_again_, false)) {
-    for (const waiting::place& place : waiting_.order()) {
-      Session* session = Find(place.number);
+  starting_queued_ = true;
+  while (std::exchange(start_queued_again_, false)) {
+    for (const waiting::place& place : queues_.order()) {
+      Session* session = FindSession(place.number);
       if (now < session->operation->not_before) {
         continue;
       }
       if (TryStart(*session, now)) {
-        waiting_.remove(session->number);
+        queues_.remove(session->number);
       } else {
-        waiting_.set_for_room(session->number, session->operation->waits_for_room);
+        queues_.set_for_room(session->number, session->operation->waits_only_for_slot);
       }
     }
   }
-  pumping_ = false;
+  starting_queued_ = false;
 }
 
 bool Dispatcher::TryStart(Session& session, common::Instant now) {
   Operation& operation = *session.operation;
-  operation.waits_for_room = false;
+  operation.waits_only_for_slot = false;
   const Transaction& transaction = session.transaction;
-  const tenants::admission_result found = Identify(session, operation.route, now);
+  const tenants::admission_result found = IdentifyTenant(session, operation.route, now);
   if (!StillAdmitted(session, found)) {
     return false;  // the next tick answers it
   }
@@ -121,7 +121,7 @@
     return false;
   }
   if (transaction.open && transaction.connection) {
-    if (const auto barred = BarredWithin(session, now)) {
+    if (const auto barred = BlockingAnswerInTransaction(session, now)) {
       operation.last_refusal = barred->reason;
       return false;
     }
@@ -132,30 +132,30 @@
     SendPreparation(session, *backend, *connection, std::nullopt, now);
     return true;
   }
-  const std::vector<Placement> places = Places(session, now);
+  const std::vector<Placement> places = FindPlacements(session, now);
   if (places.empty()) {
     operation.last_refusal = NeedsPrimary(session) ? "no usable primary" : "no fresh instance";
-    waiting_.note_no_place(TargetOf(session), now);
+    queues_.note_no_place(TargetOf(session), now);
     return false;
   }
   const bool all_avoided = std::all_of(places.begin(), places.end(), [&](const Placement& place) {
-    return operation.avoided.contains(place.instance);
+    return operation.avoided_instances.contains(place.instance);
   });
   if (all_avoided) {
-    operation.avoided.clear();
+    operation.avoided_instances.clear();
   }
   for (const Placement& place : places) {
-    if (!operation.avoided.contains(place.instance) && StartOn(session, place, now)) {
+    if (!operation.avoided_instances.contains(place.instance) && StartOn(session, place, now)) {
       return true;
     }
   }
   const bool any_takes = std::any_of(places.begin(), places.end(), [&](const Placement& place) {
-    return TakesStatement(*backends_.Find(place.instance), operation, now);
+    return AcceptsStatement(*backends_.Find(place.instance), operation, now);
   });
   operation.last_refusal = any_takes ? "no free connection" : "instances are busy";
-  NoteNoRoom(session, places.size(), now);
-  OpenFor(session, places, now);
-  const common::Duration longest_wait = operation.hold_until - operation.arrived;
+  RecordNoFreeSlot(session, places.size(), now);
+  OpenConnectionFor(session, places, now);
+  const common::Duration longest_wait = operation.queue_deadline - operation.arrived;
   if (now >= operation.arrived + longest_wait * kCrowdedOutAfter / kCrowdedOutOf) {
     for (const Placement& place : places) {
       backends_.Find(place.instance)->NoteCrowdedOut(UrgencyOf(operation.route), now);
@@ -164,33 +164,34 @@
   return false;
 }
 
-bool Dispatcher::TakesStatement(const Backend& backend, const Operation& operation,
-                                common::Instant now) const {
+bool Dispatcher::AcceptsStatement(const Backend& backend, const Operation& operation,
+                                  common::Instant now) const {
   return backend.HasRoom() && now >= backend.AvoidUntil() &&
          !backend.LeftToImpatient(UrgencyOf(operation.route), now);
 }
 
-bool Dispatcher::AwaitsConnection(const Operation& operation, common::Instant now) {
-  if (!operation.opening) {
+bool Dispatcher::IsConnectionOpening(const Operation& operation, common::Instant now) {
+  if (!operation.opening_connection) {
     return false;
   }
-  const Connection* connection = backends_.FindConnection(*operation.opening);
+  const Connection* connection = backends_.FindConnection(*operation.opening_connection);
   return connection != nullptr && !connection->open && now < connection->created + kOpeningPatience;
 }
 
-void Dispatcher::OpenFor(Session& session, const std::vector<Placement>& places,
-                         common::Instant now) {
+void Dispatcher::OpenConnectionFor(Session& session, const std::vector<Placement>& places,
+                                   common::Instant now) {
   Operation& operation = *session.operation;
-  if (AwaitsConnection(operation, now)) {
+  if (IsConnectionOpening(operation, now)) {
     return;
   }
   for (const Placement& place : places) {
     Backend& backend = *backends_.Find(place.instance);
-    const bool possible = !operation.avoided.contains(place.instance) &&
-                          TakesStatement(backend, operation, now) &&
-                          backends_.MayOpenFor(backend, waiting_.size());
-    operation.opening = possible ? backends_.OpenFor(operation.tenant, backend, now) : std::nullopt;
-    if (operation.opening) {
+    const bool possible = !operation.avoided_instances.contains(place.instance) &&
+                          AcceptsStatement(backend, operation, now) &&
+                          backends_.MayOpenFor(backend, queues_.size());
+    operation.opening_connection =
+        possible ? backends_.OpenFor(operation.tenant, backend, now) : std::nullopt;
+    if (operation.opening_connection) {
       return;
     }
   }
@@ -198,26 +199,26 @@
 
 bool Dispatcher::StartOn(Session& session, const Placement& place, common::Instant now) {
   Backend& backend = *backends_.Find(place.instance);
-  if (!TakesStatement(backend, *session.operation, now)) {
+  if (!AcceptsStatement(backend, *session.operation, now)) {
     return false;
   }
   Connection* connection = backend.PickFree(session.operation->tenant, session.values);
   if (connection == nullptr) {
     return false;
   }
-  NoteStarted(session, now);
+  RecordStart(session, now);
   connection->session = session.number;
   Operation& operation = *session.operation;
   operation.instance = place.instance;
   operation.connection = connection->number;
-  operation.required_age = place.age;
-  operation.required_own = place.own;
+  operation.required_position_age = place.age;
+  operation.required_is_own_commit = place.own;
   ++operation.attempts;
   SendPreparation(session, backend, *connection, place.required, now);
   return true;
 }
 
-std::vector<model::InstanceRequest> Dispatcher::Preparation(
+std::vector<model::InstanceRequest> Dispatcher::BuildPreparation(
     const Session& session, Connection& connection,
     const std::optional<common::Position>& required) const {
   std::vector<model::InstanceRequest> requests;
@@ -241,7 +242,7 @@
     requests.emplace_back(model::SessionRequest{"", set, std::nullopt});
     connection.values[name] = value;
   }
-  const model::Command& command = session.operation->caller.command;
+  const model::Command& command = session.operation->caller_command.command;
   if (command.kind == model::CommandKind::kExecute) {
     const model::PreparedStatement& statement = session.prepared.at(command.name);
     if (!connection.prepared.contains(statement)) {
@@ -257,7 +258,8 @@
     model::Command begin;
     begin.kind = session.transaction.read_only ? model::CommandKind::kBeginReadOnly
                                                : model::CommandKind::kBegin;
-    requests.emplace_back(model::SessionRequest{session.transaction.begin_id, begin, required});
+    requests.emplace_back(
+        model::SessionRequest{session.transaction.begin_request_id, begin, required});
   }
   return requests;
 }
@@ -268,16 +270,16 @@
   Operation& operation = *session.operation;
   const std::optional<common::Position> checked =
       settings_.mechanisms.required_positions ? required : std::nullopt;
-  operation.required = session.transaction.open ? std::nullopt : checked;
+  operation.required_position = session.transaction.open ? std::nullopt : checked;
   operation.sent = now;
-  std::vector<model::InstanceRequest> requests = Preparation(session, connection, checked);
+  std::vector<model::InstanceRequest> requests = BuildPreparation(session, connection, checked);
   if (requests.empty()) {
     SendStatement(session, backend, connection, now);
     return;
   }
   operation.phase = OperationPhase::kPreparing;
-  operation.preparations = requests.size();
-  SendWork(backend, connection, std::move(requests), Purpose::kPreparation, now);
+  operation.unanswered_preparations = requests.size();
+  SendAndCountRequests(backend, connection, std::move(requests), Purpose::kPreparation, now);
 }
 
 void Dispatcher::SendStatement(Session& session, Backend& backend, Connection& connection,
@@ -286,21 +288,21 @@
   const bool counted = operation.phase == OperationPhase::kPreparing;
   operation.phase = OperationPhase::kRunning;
   operation.sent = now;
-  model::SessionRequest request{operation.caller.request_id, operation.caller.command,
-                                operation.required};
+  model::SessionRequest request{operation.caller_command.request_id,
+                                operation.caller_command.command, operation.required_position};
   if (request.command.kind == model::CommandKind::kExecute) {
     request.command.name = connection.prepared.at(session.prepared.at(request.command.name));
   }
   if (counted) {
     backends_.Send(backend, connection, {std::move(request)}, Purpose::kStatement, now);
   } else {
-    SendWork(backend, connection, {std::move(request)}, Purpose::kStatement, now);
+    SendAndCountRequests(backend, connection, {std::move(request)}, Purpose::kStatement, now);
   }
 }
 
 void Dispatcher::OnAnswer(Backend& backend, Connection& connection, const Outstanding& outstanding,
                           const model::Reply& reply, common::Instant now) {
-  Session* session = Find(*connection.session);
+  Session* session = FindSession(*connection.session);
   const bool expected = session != nullptr && session->operation &&
                         session->operation->connection == connection.number;
   if (!expected) {
@@ -312,22 +314,23 @@
                          outstanding.sent);
   }
   if (outstanding.purpose == Purpose::kPreparation) {
-    AnswerToPreparation(*session, backend, connection, reply, now);
+    OnPreparationAnswer(*session, backend, connection, reply, now);
   } else {
-    AnswerToStatement(*session, backend, connection, reply, now);
+    OnStatementAnswer(*session, backend, connection, reply, now);
   }
 }
 
-void Dispatcher::AnswerToPreparation(Session& session, Backend& backend, Connection& connection,
+void Dispatcher::OnPreparationAnswer(Session& session, Backend& backend, Connection& connection,
                                      const model::Reply& reply, common::Instant now) {
   Operation& operation = *session.operation;
-  if (operation.preparations > 0) {
-    --operation.preparations;
+  if (operation.unanswered_preparations > 0) {
+    --operation.unanswered_preparations;
   }
-  if (reply.succeeded && operation.preparations > 0) {
+  if (reply.succeeded && operation.unanswered_preparations > 0) {
     return;
   }
-  if (reply.succeeded && Closed(backend.Entry().id, operation.route, operation.tenant, now)) {
+  if (reply.succeeded &&
+      IsInstanceClosed(backend.Entry().id, operation.route, operation.tenant, now)) {
     // Closed since: nothing of the statement has run. The connection ends what was begun there.
     Connection lost = connection;
     backends_.Close(backend, lost.number);
@@ -338,15 +341,15 @@
     if (session.transaction.open && !session.transaction.connection) {
       session.transaction.connection = connection.number;
       session.transaction.instance = backend.Entry().id;
-      session.transaction.barred = false;
+      session.transaction.instance_closed = false;
     }
     SendStatement(session, backend, connection, now);
     return;
   }
-  if (operation.preparations > 0 || !model::PromisesNothingKept(reply.error)) {
+  if (operation.unanswered_preparations > 0 || !model::PromisesNothingKept(reply.error)) {
     // The connection's state is not known: what it stands for ends with it.
     outbox_.Log("preparation_failed",
-                {{"request", operation.caller.request_id},
+                {{"request", operation.caller_command.request_id},
                  {"instance", backend.Entry().id},
                  {"error", model::ErrorCodeName(reply.error)}},
                 LogLevel::kWarning);
@@ -355,24 +358,24 @@
     OnLost(backend, lost, now);
     return;
   }
-  Refused(session, backend, connection, reply, now);
+  OnRefused(session, backend, connection, reply, now);
 }
 
-void Dispatcher::AnswerToStatement(Session& session, Backend& backend, Connection& connection,
+void Dispatcher::OnStatementAnswer(Session& session, Backend& backend, Connection& connection,
                                    const model::Reply& reply, common::Instant now) {
   if (reply.succeeded) {
-    Succeeded(session, backend, connection, reply, now);
+    OnStatementSucceeded(session, backend, connection, reply, now);
   } else {
-    Refused(session, backend, connection, reply, now);
+    OnRefused(session, backend, connection, reply, now);
   }
 }
 
-void Dispatcher::Succeeded(Session& session, Backend& backend, Connection& connection,
-                           const model::Reply& reply, common::Instant now) {
+void Dispatcher::OnStatementSucceeded(Session& session, Backend& backend, Connection& connection,
+                                      const model::Reply& reply, common::Instant now) {
   Operation& operation = *session.operation;
   backend.NoteSuccess(now - operation.sent);
-  if (operation.required) {
-    backend.NoteFresh(operation.required_age, now);
+  if (operation.required_position) {
+    backend.NoteFresh(operation.required_position_age, now);
   }
   const bool commits = MayHaveCommitted(session);
   if (commits) {
@@ -382,13 +385,13 @@
     session.own_commit = *reply.position;
     session.own_commit_at = now;
   }
-  if (!IsWrite(session) && operation.caller.command.kind != model::CommandKind::kCommit) {
+  if (!IsWrite(session) && operation.caller_command.command.kind != model::CommandKind::kCommit) {
     const bool at_primary =
         groups_.UsablePrimary(operation.route.service, now) == operation.instance;
     ++(at_primary ? counters_.primary_reads : counters_.replica_reads);
   }
-  session.transaction.ran = true;
-  session.transaction.wrote = session.transaction.wrote || IsWrite(session);
+  session.transaction.has_run_statement = true;
+  session.transaction.has_written = session.transaction.has_written || IsWrite(session);
   const bool transaction_ended =
       session.transaction.open && reply.state == model::TransactionState::kIdle;
   if (transaction_ended) {
@@ -399,13 +402,13 @@
   FinishWithReply(session, reply, now);
 }
 
-void Dispatcher::Refused(Session& session, Backend& backend, Connection& connection,
-                         const model::Reply& reply, common::Instant now) {
+void Dispatcher::OnRefused(Session& session, Backend& backend, Connection& connection,
+                           const model::Reply& reply, common::Instant now) {
   Operation& operation = *session.operation;
   const std::string& instance = backend.Entry().id;
   const model::ErrorCode code = reply.error;
   if (code == model::ErrorCode::kLagging) {
-    backend.NoteLagging(operation.required_age, !operation.required_own, now);
+    backend.NoteLagging(operation.required_position_age, !operation.required_is_own_commit, now);
   }
   if (code == model::ErrorCode::kBusy) {
     backend.NoteBusy(now);
@@ -413,29 +416,29 @@
   if (code == model::ErrorCode::kReadOnly) {
     groups_.Get(operation.route.service, now).round_at = common::Instant(0);
   }
-  const bool first = !session.transaction.open || !session.transaction.ran;
+  const bool first = !session.transaction.open || !session.transaction.has_run_statement;
   if (first && model::PromisesNothingKept(code) && operation.attempts < kMostAttempts) {
     ++counters_.retries;
     if (code != model::ErrorCode::kLagging) {
-      outbox_.Log("request_retried", {{"request", operation.caller.request_id},
+      outbox_.Log("request_retried", {{"request", operation.caller_command.request_id},
                                       {"instance", instance},
                                       {"error", model::ErrorCodeName(code)},
                                       {"attempt", std::to_string(operation.attempts)}});
     }
     session.transaction.connection.reset();
     connection.session.reset();
-    if (session.transaction.barred) {
-      LeaveConnection(session.transaction, backend, connection, now);
+    if (session.transaction.instance_closed) {
+      ReleaseOrCloseConnection(session.transaction, backend, connection, now);
     }
     const bool read_only = code == model::ErrorCode::kReadOnly;
     const bool lagging = code == model::ErrorCode::kLagging;
     const common::Duration pause =
         read_only ? kReadOnlyPause : (lagging ? common::Duration(0) : kRetryPause);
-    Wait(session, instance, model::ErrorCodeName(code), pause, now);
+    Requeue(session, instance, model::ErrorCodeName(code), pause, now);
     return;
   }
   outbox_.Log("request_failed",
-              {{"request", operation.caller.request_id},
+              {{"request", operation.caller_command.request_id},
                {"error", model::ErrorCodeName(code)},
                {"reason", "the instance answered so"},
                {"service", operation.route.service},
@@ -454,26 +457,26 @@
   FinishWithReply(session, reply, now);
 }
 
-void Dispatcher::Wait(Session& session, const std::string& avoid, const char* reason,
-                      common::Duration pause, common::Instant now) {
+void Dispatcher::Requeue(Session& session, const std::string& avoid, const char* reason,
+                         common::Duration pause, common::Instant now) {
   Operation& operation = *session.operation;
-  operation.phase = OperationPhase::kWaiting;
+  operation.phase = OperationPhase::kQueued;
   operation.connection = 0;
   operation.last_refusal = reason;
   operation.not_before = now + pause;
-  operation.avoided.insert(avoid);
-  operation.waits_for_room = false;
-  JoinQueue(session);
+  operation.avoided_instances.insert(avoid);
+  operation.waits_only_for_slot = false;
+  Enqueue(session);
   if (pause == common::Duration(0) && TryStart(session, now)) {
-    waiting_.remove(session.number);
+    queues_.remove(session.number);
   }
 }
 
-void Dispatcher::Abandon(Session& session, common::Instant now) {
+void Dispatcher::AbandonSentRequest(Session& session, common::Instant now) {
   Operation& operation = *session.operation;
   Backend* backend = backends_.Find(operation.instance);
   Connection* connection = backend == nullptr ? nullptr : backend->Find(operation.connection);
-  if (connection == nullptr || operation.phase == OperationPhase::kWaiting) {
+  if (connection == nullptr || operation.phase == OperationPhase::kQueued) {
     return;
   }
   const bool in_transaction = session.transaction.open;
@@ -489,7 +492,7 @@
 }
 
 void Dispatcher::OnLost(Backend& backend, Connection& connection, common::Instant now) {
-  Session* session = Find(*connection.session);
+  Session* session = FindSession(*connection.session);
   connection.session.reset();
   if (session == nullptr) {
     return;
@@ -498,9 +501,10 @@
   session->transaction.connection.reset();
   if (!running) {
     session->transaction.failed = session->transaction.open;
-    outbox_.Log("transaction_lost",
-                {{"request", session->transaction.begin_id}, {"instance", backend.Entry().id}},
-                LogLevel::kWarning);
+    outbox_.Log(
+        "transaction_lost",
+        {{"request", session->transaction.begin_request_id}, {"instance", backend.Entry().id}},
+        LogLevel::kWarning);
     if (session->operation) {
       // It waited, unsent, to go on with what is lost now.
       FinishWithError(*session, model::ErrorCode::kAborted, "the connection was lost", now);
@@ -508,18 +512,18 @@
     return;
   }
   Operation& operation = *session->operation;
-  const bool first = !session->transaction.open || !session->transaction.ran;
+  const bool first = !session->transaction.open || !session->transaction.has_run_statement;
   if (MayHaveCommitted(*session)) {
     FinishWithError(*session, model::ErrorCode::kInDoubt, "the connection was lost", now);
     return;
   }
   if (first && operation.attempts < kMostAttempts) {
     ++counters_.retries;
-    outbox_.Log("request_retried", {{"request", operation.caller.request_id},
+    outbox_.Log("request_retried", {{"request", operation.caller_command.request_id},
                                     {"instance", backend.Entry().id},
                                     {"error", "connection lost"},
                                     {"attempt", std::to_string(operation.attempts)}});
-    Wait(*session, backend.Entry().id, "connection lost", common::Duration(1), now);
+    Requeue(*session, backend.Entry().id, "connection lost", common::Duration(1), now);
     return;
   }
   FinishWithError(*session, model::ErrorCode::kAborted, "the connection was lost", now);
--- a/src/proxy/dispatcher_tenants.cc
+++ b/src/proxy/dispatcher_tenants.cc
@@ -49,13 +49,14 @@
 
 }  // namespace
 
-tenants::admission_result Dispatcher::Identify(const Session& session, const model::Route& route,
-                                               common::Instant now) const {
+tenants::admission_result Dispatcher::IdentifyTenant(const Session& session,
+                                                     const model::Route& route,
+                                                     common::Instant now) const {
   return admission_.identify(route.is_public, session.key, now);
 }
 
-void Dispatcher::LogTurnedAway(const std::string& request, const model::Route& route,
-                               const tenants::admission_result& result) {
+void Dispatcher::LogRejection(const std::string& request, const model::Route& route,
+                              const tenants::admission_result& result) {
   admission_.note_refused(result.outcome);
   outbox_.Log("request_turned_away",
               {{"request", request},
@@ -70,11 +71,11 @@
 
 bool Dispatcher::AcceptsCaller(const Session& session, const model::Route& route,
                                common::Instant now) {
-  const tenants::admission_result result = Identify(session, route, now);
+  const tenants::admission_result result = IdentifyTenant(session, route, now);
   if (result.outcome == tenants::verdict::admitted) {
     return true;
   }
-  LogTurnedAway("", route, result);
+  LogRejection("", route, result);
   const Refusal refusal = RefusalOf(result);
   outbox_.Emit(CloseSession{session.number, true, refusal.code, refusal.text});
   return false;
@@ -88,21 +89,21 @@
   if (result.outcome == tenants::verdict::admitted) {
     return std::move(result.tenant);
   }
-  LogTurnedAway(command.request_id, route, result);
+  LogRejection(command.request_id, route, result);
   const Refusal refusal = RefusalOf(result);
   AnswerError(session, refusal.code, refusal.text);
   return std::nullopt;
 }
 
-bool Dispatcher::ContinuesForTenant(Session& session, const CallerCommand& command,
-                                    common::Instant now) {
+bool Dispatcher::CheckTransactionTenant(Session& session, const CallerCommand& command,
+                                        common::Instant now) {
   const Transaction& transaction = session.transaction;
-  const tenants::admission_result result = Identify(session, transaction.route, now);
+  const tenants::admission_result result = IdentifyTenant(session, transaction.route, now);
   const bool admitted = result.outcome == tenants::verdict::admitted;
   if (admitted && result.tenant == transaction.tenant) {
     return true;
   }
-  LogTurnedAway(command.request_id, transaction.route, result);
+  LogRejection(command.request_id, transaction.route, result);
   // Nothing of the transaction is kept: its connection is rolled back before the answer.
   FailTransaction(session, now);
   const bool commits = command.command.kind == model::CommandKind::kCommit;
@@ -133,7 +134,7 @@
   Connection* connection = backend == nullptr ? nullptr : backend->Find(*transaction.connection);
   transaction.connection.reset();
   if (connection != nullptr) {
-    LeaveConnection(transaction, *backend, *connection, now);
+    ReleaseOrCloseConnection(transaction, *backend, *connection, now);
   }
 }
 
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -23,18 +23,19 @@
 
 /// @return true if the caller was just told that it may begin.
 bool AwaitsFirst(const CallerSession& session, common::Instant now) {
-  return !session.has_spoken && now < session.started + relay::FIRST_COMMAND_TIME;
+  return !session.received_command && now < session.started + relay::FIRST_COMMAND_TIME;
 }
 
 }  // namespace
 
-bool Dispatcher::ResendDue(const Session& session, const Backend& backend,
-                           common::Instant now) const {
+bool Dispatcher::IsResendDue(const Session& session, const Backend& backend,
+                             common::Instant now) const {
   const Operation& operation = *session.operation;
   const bool reads = !IsWrite(session) || !settings_.mechanisms.unknown_outcomes;
   const bool single_read = !session.transaction.open && reads;
-  const bool first_of_transaction = session.transaction.open && !session.transaction.ran &&
-                                    operation.caller.command.kind != model::CommandKind::kCommit;
+  const bool first_of_transaction =
+      session.transaction.open && !session.transaction.has_run_statement &&
+      operation.caller_command.command.kind != model::CommandKind::kCommit;
   if ((!single_read && !first_of_transaction) || operation.resends >= kMostResends) {
     return false;
   }
@@ -50,38 +51,38 @@
 
 void Dispatcher::CheckOperation(Session& session, common::Instant now) {
   Operation& operation = *session.operation;
-  if (operation.phase == OperationPhase::kWaiting) {
-    const tenants::admission_result found = Identify(session, operation.route, now);
+  if (operation.phase == OperationPhase::kQueued) {
+    const tenants::admission_result found = IdentifyTenant(session, operation.route, now);
     if (!StillAdmitted(session, found)) {
-      LogTurnedAway(operation.caller.request_id, operation.route, found);
+      LogRejection(operation.caller_command.request_id, operation.route, found);
       const bool unknown = found.outcome == tenants::verdict::unknown_key;
       FinishWithError(session, unknown ? model::ErrorCode::kDenied : model::ErrorCode::kAborted,
                       "the key is no longer in force", now);
       return;
     }
-    if (RefuseBarred(session, now)) {
+    if (RefuseBlocked(session, now)) {
       return;
     }
-    if (now >= std::min(operation.hold_until, operation.deadline)) {
-      RefuseHeld(session, now);
+    if (now >= std::min(operation.queue_deadline, operation.deadline)) {
+      RefuseAtQueueDeadline(session, now);
     }
     return;
   }
-  NoteBarredRunning(session, now);
+  RecordInstanceClosed(session, now);
   const Backend* backend = backends_.Find(operation.instance);
-  const bool resend = backend != nullptr && ResendDue(session, *backend, now);
+  const bool resend = backend != nullptr && IsResendDue(session, *backend, now);
   if (resend && now < operation.deadline) {
     ++counters_.resent_reads;
     ++operation.resends;
     admission_.limiter().note_resent(operation.tenant, now);
-    outbox_.Log("request_resent", {{"request", operation.caller.request_id},
+    outbox_.Log("request_resent", {{"request", operation.caller_command.request_id},
                                    {"instance", operation.instance},
                                    {"waited_ms", Milliseconds(now - operation.sent)},
                                    {"attempt", std::to_string(operation.attempts)}});
-    Abandon(session, now);
+    AbandonSentRequest(session, now);
     // A fresh measure of patience elsewhere, within the statement's time.
-    operation.hold_until = std::max(operation.hold_until, now + kShortestResend);
-    Wait(session, operation.instance, "no answer", common::Duration(0), now);
+    operation.queue_deadline = std::max(operation.queue_deadline, now + kShortestResend);
+    Requeue(session, operation.instance, "no answer", common::Duration(0), now);
     return;
   }
   const bool replaced = backend != nullptr && backend->Unreachable() && NeedsPrimary(session) &&
@@ -89,14 +90,15 @@
   if (now < operation.deadline && !replaced) {
     return;
   }
-  CutShort(session, replaced ? "the primary is lost" : "the statement's time is over", now);
+  FinishInterrupted(session, replaced ? "the primary is lost" : "the statement's time is over",
+                    now);
 }
 
-void Dispatcher::CutShort(Session& session, const char* reason, common::Instant now) {
+void Dispatcher::FinishInterrupted(Session& session, const char* reason, common::Instant now) {
   const bool committed = MayHaveCommitted(session);
   const bool in_transaction = session.transaction.open;
   const bool sent = session.operation->phase == OperationPhase::kRunning;
-  Abandon(session, now);
+  AbandonSentRequest(session, now);
   if (committed) {
     FinishWithError(session, model::ErrorCode::kInDoubt, reason, now);
   } else if (in_transaction) {
@@ -107,7 +109,7 @@
   }
 }
 
-void Dispatcher::CheckTransaction(Session& session, common::Instant now) {
+void Dispatcher::FailIdleTransaction(Session& session, common::Instant now) {
   Transaction& transaction = session.transaction;
   const common::Duration limit =
       configuration_ == nullptr ? common::Duration(0) : configuration_->transaction_idle;
@@ -116,15 +118,15 @@
       now < transaction.last_active + limit + kIdleSlack) {
     return;
   }
-  outbox_.Log("transaction_ended", {{"request", transaction.begin_id},
+  outbox_.Log("transaction_ended", {{"request", transaction.begin_request_id},
                                     {"instance", transaction.instance},
                                     {"idle_ms", Milliseconds(now - transaction.last_active)}});
   FailTransaction(session, now);
 }
 
-void Dispatcher::NoteUnansweredWrites(common::Instant now) {
+void Dispatcher::RecordUnansweredWrites(common::Instant now) {
   // Of 1,000 groups few have a write on its way: those of the last time alone can have one noted.
-  for (const std::string& service : std::exchange(unanswered_in_, {})) {
+  for (const std::string& service : std::exchange(services_with_unanswered_write_, {})) {
     groups_.Get(service, now).write_sent.reset();
   }
   for (const auto& [number, session] : sessions_) {
@@ -135,7 +137,7 @@
     GroupState& group = groups_.Get(operation.route.service, now);
     const bool at_primary = operation.instance == group.lease.Newest().primary;
     if (at_primary && (!group.write_sent || operation.sent < *group.write_sent)) {
-      unanswered_in_.insert(operation.route.service);
+      services_with_unanswered_write_.insert(operation.route.service);
       group.write_sent = operation.sent;
     }
   }
@@ -149,7 +151,7 @@
     }
   }
   for (const SessionNumber number : numbers) {
-    Session* session = Find(number);
+    Session* session = FindSession(number);
     if (session == nullptr) {
       continue;
     }
@@ -164,14 +166,14 @@
     if (session->operation) {
       CheckOperation(*session, now);
     } else {
-      EndBarredTransaction(*session, now);
-      CheckTransaction(*session, now);
+      EndBlockedTransaction(*session, now);
+      FailIdleTransaction(*session, now);
     }
   }
-  NoteUnansweredWrites(now);
-  Pump(now);
-  RefuseHopeless(now);
-  ObserveCapacity(now);
+  RecordUnansweredWrites(now);
+  StartQueuedOperations(now);
+  RefuseEarly(now);
+  ReportCapacity(now);
 }
 
 std::set<std::string> Dispatcher::ServicesInUse() const {
@@ -184,45 +186,47 @@
   return services;
 }
 
-void Dispatcher::CloseResting(bool all, common::Instant now) {
+void Dispatcher::EndAllIdleSessions(bool all, common::Instant now) {
   // Ended by the next tick, a session that was just accepted loses its first command on the way.
   const auto chosen = [&](const Session& session) { return all || !AwaitsFirst(session, now); };
-  EndSessions(chosen, all ? EndWhen::kAnswered : EndWhen::kResting, kStops, now);
+  EndSessions(chosen, all ? SessionEndCondition::kBetweenCommands : SessionEndCondition::kIdle,
+              kStops, now);
 }
 
-void Dispatcher::EndOperation(Session& session, const char* reason, common::Instant now) {
+void Dispatcher::InterruptOperation(Session& session, const char* reason, common::Instant now) {
   session.end_reason = reason;
   const Operation& operation = *session.operation;
-  const bool waits = operation.phase == OperationPhase::kWaiting;
+  const bool waits = operation.phase == OperationPhase::kQueued;
   const bool begun = session.transaction.open && !waits;
   if (begun || operation.phase == OperationPhase::kRunning) {
-    CutShort(session, reason, now);
+    FinishInterrupted(session, reason, now);
     return;
   }
   // A read, or the first statement of a transaction, may have been sent before without an answer.
   const bool ran = operation.attempts > (waits ? 0U : 1U);
   const std::string text = std::string(kComeBack) + (ran ? "" : "not run: ") + reason;
-  Abandon(session, now);
+  AbandonSentRequest(session, now);
   FinishWithError(session, model::ErrorCode::kBusy, text, now);
 }
 
-void Dispatcher::EndAll(common::Instant now) {
-  ended_ = true;
-  EndSessions([](const Session&) { return true; }, EndWhen::kAtOnce, kStops, now);
+void Dispatcher::EndAllSessions(common::Instant now) {
+  stopped_ = true;
+  EndSessions([](const Session&) { return true; }, SessionEndCondition::kImmediately, kStops, now);
 }
 
-void Dispatcher::EndResting(const std::string& service, bool handed_over, common::Instant now) {
+void Dispatcher::EndIdleSessionsOfService(const std::string& service, bool handed_over,
+                                          common::Instant now) {
   EndSessions(
       [&](const Session& session) {
         const model::Route* route = RouteOf(session);
-        const bool may_end = handed_over || session.takes_goodbye || !session.handed_over;
+        const bool may_end = handed_over || session.accepts_end_request || !session.handed_over;
         return may_end && !AwaitsFirst(session, now) && route != nullptr &&
                route->service == service;
       },
-      EndWhen::kResting, "owned by other daemons", now);
+      SessionEndCondition::kIdle, "owned by other daemons", now);
 }
 
-void Dispatcher::NoteEnding(const std::vector<SessionNumber>& ending, const char* reason) {
+void Dispatcher::LogEndingSessions(const std::vector<SessionNumber>& ending, const char* reason) {
   if (ending.empty()) {
     return;
   }
@@ -243,7 +247,8 @@
 }
 
 std::size_t Dispatcher::EndSessions(const std::function<bool(const CallerSession&)>& chosen,
-                                    EndWhen when, const char* reason, common::Instant now) {
+                                    SessionEndCondition when, const char* reason,
+                                    common::Instant now) {
   std::size_t left = 0;
   std::size_t asked = 0;
   std::vector<SessionNumber> ending;
@@ -251,23 +256,24 @@
     if (!chosen(session)) {
       continue;
     }
-    const bool to_be_asked = when == EndWhen::kResting && session.accepted && session.takes_goodbye;
-    if (to_be_asked && !session.asked_to_end) {
+    const bool to_be_asked =
+        when == SessionEndCondition::kIdle && session.accepted && session.accepts_end_request;
+    if (to_be_asked && !session.end_requested_at) {
       // What rests here may have its next command on the link: of 238 links that owners closed
       // on a command in three days of planned stops, 209 did within 10 ms of it.
-      session.asked_to_end = now;
+      session.end_requested_at = now;
       outbox_.Emit(AskToEnd{number});
       ++asked;
     }
-    if (to_be_asked && now < *session.asked_to_end + kGoodbyeTime) {
+    if (to_be_asked && now < *session.end_requested_at + kGoodbyeTime) {
       ++left;
       continue;
     }
     const bool answered = !session.operation;
     const bool rests = answered && !session.transaction.open;
-    const bool may_end =
-        rests || when == EndWhen::kAtOnce || (answered && when == EndWhen::kAnswered);
-    if (may_end && when != EndWhen::kLater) {
+    const bool may_end = rests || when == SessionEndCondition::kImmediately ||
+                         (answered && when == SessionEndCondition::kBetweenCommands);
+    if (may_end && when != SessionEndCondition::kNotYet) {
       ending.push_back(number);
     } else {
       ++left;
@@ -276,14 +282,15 @@
   if (asked > 0) {
     outbox_.Log("sessions_asked_to_end", {{"reason", reason}, {"sessions", std::to_string(asked)}});
   }
-  NoteEnding(ending, reason);
+  LogEndingSessions(ending, reason);
   for (const SessionNumber number : ending) {
     Session& session = sessions_.at(number);
     if (session.operation) {
-      EndOperation(session, reason, now);
+      InterruptOperation(session, reason, now);
     }
     // Before it is accepted, one that was handed over is taken by another owner if it ends unheard.
-    const bool untold = !session.accepted && !(session.handed_over && session.queue.empty());
+    const bool untold =
+        !session.accepted && !(session.handed_over && session.pending_commands.empty());
     outbox_.Emit(untold ? CloseSession{number, true, model::ErrorCode::kBusy,
                                        std::string(kComeBack) + reason}
                         : CloseSession{number});
--- a/src/proxy/dispatcher_waiting.cc
+++ b/src/proxy/dispatcher_waiting.cc
@@ -15,7 +15,7 @@
 constexpr common::Duration kRetryMemory{2'000'000};
 
 common::Instant HoldEnd(const Operation& operation) {
-  return std::min(operation.hold_until, operation.deadline);
+  return std::min(operation.queue_deadline, operation.deadline);
 }
 
 }  // namespace
@@ -25,7 +25,7 @@
   return {session.operation->route.service, needs};
 }
 
-void Dispatcher::JoinQueue(const Session& session) {
+void Dispatcher::Enqueue(const Session& session) {
   const Operation& operation = *session.operation;
   waiting::waiter waiter;
   waiter.number = session.number;
@@ -36,24 +36,24 @@
   waiter.hold_until = HoldEnd(operation);
   const waiting::target target = TargetOf(session);
   waiter.needs = target.needs;
-  waiting_.add(target.service, waiter, operation.waits_for_room);
+  queues_.add(target.service, waiter, operation.waits_only_for_slot);
 }
 
-void Dispatcher::NoteNoRoom(Session& session, std::size_t places, common::Instant now) {
+void Dispatcher::RecordNoFreeSlot(Session& session, std::size_t places, common::Instant now) {
   // Of a read that was sent and not answered it is not known that it did not run.
-  session.operation->waits_for_room = session.operation->resends == 0;
-  waiting_.note_blocked(TargetOf(session), places, now);
+  session.operation->waits_only_for_slot = session.operation->resends == 0;
+  queues_.note_blocked(TargetOf(session), places, now);
 }
 
-void Dispatcher::NoteStarted(const Session& session, common::Instant now) {
+void Dispatcher::RecordStart(const Session& session, common::Instant now) {
   const Operation& operation = *session.operation;
-  waiting_.note_started(TargetOf(session),
-                        {session.number, operation.route.priority, operation.tenant}, now);
+  queues_.note_started(TargetOf(session),
+                       {session.number, operation.route.priority, operation.tenant}, now);
 }
 
-void Dispatcher::ObserveOperation(const Session& session, const Operation& operation,
-                                  common::Instant now) {
-  const bool sent = operation.phase != OperationPhase::kWaiting;
+void Dispatcher::ReportOperation(const Session& session, const Operation& operation,
+                                 common::Instant now) {
+  const bool sent = operation.phase != OperationPhase::kQueued;
   const bool in_transaction = sent && operation.attempts == 0;  // where the room was taken before
   if (load_observer_ == nullptr || in_transaction) {
     return;
@@ -70,7 +70,7 @@
   load_observer_->note_operation(came);
 }
 
-void Dispatcher::ObserveCapacity(common::Instant now) {
+void Dispatcher::ReportCapacity(common::Instant now) {
   if (load_observer_ == nullptr) {
     return;
   }
@@ -90,33 +90,35 @@
   }
 }
 
-void Dispatcher::RefuseHopeless(common::Instant now) {
+void Dispatcher::RefuseEarly(common::Instant now) {
   if (!settings_.early_refusal) {
     return;
   }
-  for (const waiting::hopeless& found : waiting_.find_hopeless(now)) {
-    Session* session = Find(found.number);
+  for (const waiting::hopeless& found : queues_.find_hopeless(now)) {
+    Session* session = FindSession(found.number);
     const bool waits = session != nullptr && session->operation &&
-                       session->operation->phase == OperationPhase::kWaiting;
+                       session->operation->phase == OperationPhase::kQueued;
     if (!waits) {
       continue;  // another's refusal gave it room
     }
-    session->operation->forecast = found.likely_wait;
+    session->operation->expected_wait = found.likely_wait;
     ++counters_.refused_early;
-    RefuseWaiting(*session, std::string(kRefusedEarly) + session->operation->last_refusal, now);
+    RefuseWithRetryAfter(*session, std::string(kRefusedEarly) + session->operation->last_refusal,
+                         now);
   }
 }
 
-void Dispatcher::RefuseHeld(Session& session, common::Instant now) {
+void Dispatcher::RefuseAtQueueDeadline(Session& session, common::Instant now) {
   Operation& operation = *session.operation;
-  ++counters_.held_in_vain[operation.last_refusal];
-  if (operation.waits_for_room) {
-    operation.forecast = waiting_.likely_wait(TargetOf(session), now);
+  ++counters_.refused_at_queue_deadline[operation.last_refusal];
+  if (operation.waits_only_for_slot) {
+    operation.expected_wait = queues_.likely_wait(TargetOf(session), now);
   }
-  RefuseWaiting(session, operation.last_refusal, now);
+  RefuseWithRetryAfter(session, operation.last_refusal, now);
 }
 
-void Dispatcher::RefuseWaiting(Session& session, const std::string& reason, common::Instant now) {
+void Dispatcher::RefuseWithRetryAfter(Session& session, const std::string& reason,
+                                      common::Instant now) {
   const Operation& operation = *session.operation;
   const bool tries_again = session.refused_since && now < *session.refused_since + kRetryMemory;
   session.refused_since = tries_again ? *session.refused_since : operation.arrived;
@@ -125,7 +127,7 @@
   refused.since_first = now - *session.refused_since;
   refused.hold = HoldEnd(operation) - operation.arrived;
   refused.target_latency = operation.route.target_latency;
-  refused.likely_wait = operation.forecast;
+  refused.likely_wait = operation.expected_wait;
   const common::Duration pause = waiting::come_back(refused);
   FinishWithError(session, model::ErrorCode::kBusy,
                   "retry_after_ms=" + Milliseconds(pause) + " " + reason, now);
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -456,7 +456,8 @@
   for (const std::string& service : foreign) {
     const auto since = guests_since_.try_emplace(service, now).first;
     if (now >= since->second + relay::GUEST_TIME) {
-      dispatcher_.EndResting(service, now >= since->second + kHandedOverGuestTime, now);
+      dispatcher_.EndIdleSessionsOfService(service, now >= since->second + kHandedOverGuestTime,
+                                           now);
     }
   }
 }
--- a/src/proxy/proxy_stop.cc
+++ b/src/proxy/proxy_stop.cc
@@ -47,7 +47,7 @@
   outbox_.Log("session_refused", {{"database", database},
                                   {"reason", kStops},
                                   {"version", std::to_string(catalog_.Configuration().version)}});
-  outbox_.Emit(CloseSession{session, true, model::ErrorCode::kBusy, kGoElsewhere});
+  outbox_.Emit(CloseSession{session, true, model::ErrorCode::kBusy, kDaemonStoppingText});
 }
 
 void Proxy::AdvanceStop(common::Instant now) {
@@ -59,8 +59,8 @@
       *stopping_since_ + std::min(kStopNotice, settings_.stop_grace / kTransactionShare);
   const common::Instant exit_at = *stopping_since_ + settings_.stop_grace - kExitReserve;
   if (now >= notice_until) {
-    dispatcher_.StartClosing();
-    dispatcher_.CloseResting(now >= transactions_until, now);
+    dispatcher_.StartDraining();
+    dispatcher_.EndAllIdleSessions(now >= transactions_until, now);
     relay_.Sessions().start_closing(now);
     if (now >= transactions_until) {
       relay_.Sessions().close_idle(now);
@@ -71,7 +71,7 @@
   if (done || now >= exit_at) {
     exited_ = true;
     outbox_.Log("stopped", {{"sessions_left", std::to_string(sessions)}});
-    dispatcher_.EndAll(now);
+    dispatcher_.EndAllSessions(now);
     relay_.Sessions().close_all();
     outbox_.Emit(Exit{});
   }
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -100,7 +100,7 @@
     return;
   }
   dispatcher_.SessionStarted(session, start.database, start.key, now);
-  dispatcher_.NoteHandedOver(session, start.takes_goodbye);
+  dispatcher_.RecordHandover(session, start.takes_goodbye);
   for (const CallerCommand& command : start.commands) {
     dispatcher_.CommandReceived(session, command, now);
   }
@@ -132,9 +132,10 @@
   const common::Duration since = now - *outside_since_;
   // Until then the daemon that handed them over ends them: the next command of a session that rests
   // here may be on the link.
-  const EndWhen when = since >= relay::MOVE_DEADLINE ? EndWhen::kAtOnce
-                       : since >= relay::MOVE_LIMIT  ? EndWhen::kAnswered
-                                                     : EndWhen::kLater;
+  const SessionEndCondition when = since >= relay::MOVE_DEADLINE ? SessionEndCondition::kImmediately
+                                   : since >= relay::MOVE_LIMIT
+                                       ? SessionEndCondition::kBetweenCommands
+                                       : SessionEndCondition::kNotYet;
   const auto outside = [this](const CallerSession& session) {
     return session.handed_over && !MayHold(session.database, session.key, zone_);
   };
--- a/tests/proxy/dispatcher_regions_test.cc
+++ b/tests/proxy/dispatcher_regions_test.cc
@@ -168,7 +168,7 @@
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kBusy);
   CHECK(answers.front().reply.error_text == "retry_after_ms=1000 outside its regions");
-  CHECK(fixture.dispatcher.Counters().barred.at(regions::OUTSIDE_REGIONS) == 1);
+  CHECK(fixture.dispatcher.Counters().blocked.at(regions::OUTSIDE_REGIONS) == 1);
 }
 
 TEST_CASE("A write of a tenant whose region the primary is not to lead in is refused at once",
--- a/tests/proxy/dispatcher_waiting_test.cc
+++ b/tests/proxy/dispatcher_waiting_test.cc
@@ -204,7 +204,7 @@
   fixture.Tick();
   CHECK(std::any_of(fixture.refusals.begin(), fixture.refusals.end(), of_last));
   CHECK(fixture.dispatcher.Counters().refused_early == 0);
-  CHECK(fixture.dispatcher.Counters().held_in_vain.contains("no free connection"));
+  CHECK(fixture.dispatcher.Counters().refused_at_queue_deadline.contains("no free connection"));
 }
 
 TEST_CASE("An overloaded instance keeps its place in the queue filled", "[proxy][waiting]") {
--- a/tests/proxy/session_relay_test.cc
+++ b/tests/proxy/session_relay_test.cc
@@ -194,12 +194,12 @@
   REQUIRE(fixture.dispatcher.SessionCount() == 2);
   static_cast<void>(fixture.outbox.Take());
   const Instant later = kStart + relay::FIRST_COMMAND_TIME;
-  fixture.dispatcher.EndResting("group", false, later);
+  fixture.dispatcher.EndIdleSessionsOfService("group", false, later);
   const auto closed = fixture.Taken<CloseSession>();
   REQUIRE(closed);
   CHECK(closed->session == kSession);
   CHECK(fixture.dispatcher.SessionCount() == 1);
-  fixture.dispatcher.EndResting("group", true, later);
+  fixture.dispatcher.EndIdleSessionsOfService("group", true, later);
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
@@ -226,8 +226,8 @@
     }
   };
   // Once; a daemon of an earlier version would not understand it.
-  fixture.dispatcher.CloseResting(false, kStart);
-  fixture.dispatcher.CloseResting(false, kStart + kLong);
+  fixture.dispatcher.EndAllIdleSessions(false, kStart);
+  fixture.dispatcher.EndAllIdleSessions(false, kStart + kLong);
   take();
   CHECK(asked == std::vector<SessionNumber>{kSession});
   CHECK(closed == std::vector<SessionNumber>{kSession + 1});
@@ -243,8 +243,8 @@
     CHECK(fixture.dispatcher.SessionCount() == 0);
   }
   SECTION("at the end of a stop's time this daemon does") {
-    fixture.dispatcher.EndSessions([](const CallerSession&) { return true; }, EndWhen::kAtOnce, "",
-                                   kStart + kLong);
+    fixture.dispatcher.EndSessions([](const CallerSession&) { return true; },
+                                   SessionEndCondition::kImmediately, "", kStart + kLong);
     take();
     CHECK(closed.size() == 2);
   }
@@ -256,11 +256,11 @@
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5, true}, kStart);
   const Instant later = kStart + relay::FIRST_COMMAND_TIME;
-  fixture.dispatcher.EndResting("group", false, later);
+  fixture.dispatcher.EndIdleSessionsOfService("group", false, later);
   CHECK(fixture.Taken<AskToEnd>());
-  fixture.dispatcher.EndResting("group", false, later + 2 * kLong - Duration(1));
+  fixture.dispatcher.EndIdleSessionsOfService("group", false, later + 2 * kLong - Duration(1));
   CHECK(fixture.dispatcher.SessionCount() == 1);
-  fixture.dispatcher.EndResting("group", false, later + 2 * kLong);
+  fixture.dispatcher.EndIdleSessionsOfService("group", false, later + 2 * kLong);
   CHECK(fixture.Taken<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
@@ -407,7 +407,7 @@
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
   REQUIRE(fixture.Taken<AcceptSession>());
-  fixture.dispatcher.EndResting("group", false, kStart + Duration(10'000));
+  fixture.dispatcher.EndIdleSessionsOfService("group", false, kStart + Duration(10'000));
   CHECK_FALSE(fixture.Taken<CloseSession>());
 }
 
