--- a/src/proxy/dispatcher.cc
+++ b/src/proxy/dispatcher.cc
@@ -6,9 +6,9 @@
 namespace valvekeel::proxy {
 namespace {
 
-constexpr std::size_t kMostQueuedCommands = 16;
+constexpr std::size_t kMaxPendingCommands = 16;
 
-std::string NotRun(const char* reason) {
+std::string NotRunText(const char* reason) {
   return std::string("retry_after_ms=250 not run: ") + reason;
 }
 
@@ -29,8 +29,8 @@
   if (configuration != nullptr) {
     queues_.set_tenants(configuration->tenants);
   }
-  const std::set<SessionNumber> starting = std::exchange(awaiting_configuration_, {});
-  for (const SessionNumber number : starting) {
+  const std::set<SessionNumber> awaiting = std::exchange(awaiting_configuration_, {});
+  for (const SessionNumber number : awaiting) {
     const Session session = *FindSession(number);
     sessions_.erase(number);
     SessionStarted(number, session.database, session.key, now);
@@ -40,10 +40,10 @@
   }
 }
 
-void Dispatcher::RecordHandover(SessionNumber number, bool takes_goodbye) {
+void Dispatcher::RecordHandover(SessionNumber number, bool accepts_end_request) {
   if (Session* session = FindSession(number)) {
     session->handed_over = true;
-    session->accepts_end_request = takes_goodbye;
+    session->accepts_end_request = accepts_end_request;
   }
 }
 
@@ -97,7 +97,7 @@
   ++counters_.commands;
   session->received_command = true;
   if (session->operation || !session->accepted) {
-    if (session->pending_commands.size() >= kMostQueuedCommands) {
+    if (session->pending_commands.size() >= kMaxPendingCommands) {
       outbox_.Emit(
           CloseSession{number, true, model::ErrorCode::kMalformed, "too many commands at once"});
       SessionClosed(number, now);
@@ -121,18 +121,18 @@
     const CallerCommand command = std::move(current->pending_commands.front());
     current->pending_commands.pop_front();
     if (current->end_reason != nullptr) {
-      AnswerError(*current, model::ErrorCode::kBusy, NotRun(current->end_reason));
+      AnswerError(*current, model::ErrorCode::kBusy, NotRunText(current->end_reason));
     } else {
       RunCommand(*current, command, now);
     }
   }
   Session* current = FindSession(number);
-  const bool rests = current != nullptr && !current->operation && !current->transaction.open;
+  const bool idle = current != nullptr && !current->operation && !current->transaction.open;
   // What was read with the last command comes next, and the tick ends the session then; else the
   // daemon that handed it over does, or who is ending it already.
-  const bool left_to_others = in_command_received_ || current == nullptr ||
-                              current->accepts_end_request || current->end_reason != nullptr;
-  if (draining_ && rests && !left_to_others) {
+  const bool ended_elsewhere = in_command_received_ || current == nullptr ||
+                               current->accepts_end_request || current->end_reason != nullptr;
+  if (draining_ && idle && !ended_elsewhere) {
     outbox_.Emit(CloseSession{number});
     SessionClosed(number, now);
   }
--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -73,22 +73,23 @@
 
   /// The session was handed over by another daemon. One that was refused is not known any more.
   /// @param takes_goodbye the other daemon ends it as it rests if asked to.
-  void RecordHandover(SessionNumber number, bool takes_goodbye);
+  void RecordHandover(SessionNumber number, bool accepts_end_request);
 
   /// Ends those chosen that may end now; what another daemon handed over and may end as it rests,
   /// that daemon is asked to. @param reason for the log. @return how many are left.
-  std::size_t EndSessions(const std::function<bool(const CallerSession&)>& chosen,
-                          SessionEndCondition when, const char* reason, common::Instant now);
+  std::size_t EndSessions(const std::function<bool(const CallerSession&)>& selected,
+                          SessionEndCondition condition, const char* reason, common::Instant now);
 
   void Tick(common::Instant now);
 
   /// Ends sessions that rest, but for those whose first command may be on its way; with `all`, also
   /// these and those in a transaction.
-  void EndAllIdleSessions(bool all, common::Instant now);
+  void EndAllIdleSessions(bool include_transactions, common::Instant now);
 
   /// Ends the sessions of a service that rest. @param handed_over also those of other daemons that
   /// take no goodbye: their next command may be on the link already.
-  void EndIdleSessionsOfService(const std::string& service, bool handed_over, common::Instant now);
+  void EndIdleSessionsOfService(const std::string& service, bool include_handed_over,
+                                common::Instant now);
 
   /// Tells an observer of the load from now on. @param observer nothing: nobody any more.
   void SetLoadObserver(waiting::load_observer* observer) { load_observer_ = observer; }
@@ -125,7 +126,7 @@
   tenants::admission_result IdentifyTenant(const Session& session, const model::Route& route,
                                            common::Instant now) const;
   /// @return true if an operation that waited may still run, by what was found out just now.
-  static bool StillAdmitted(const Session& session, const tenants::admission_result& found);
+  static bool StillAdmitted(const Session& session, const tenants::admission_result& current);
   void LogRejection(const std::string& request, const model::Route& route,
                     const tenants::admission_result& result);
   /// Ends the transaction at its instance; only its end is taken from the caller.
@@ -181,7 +182,7 @@
   /// Lets the session's operation wait; nothing changes if it does already.
   void Enqueue(const Session& session);
   /// The session's operation found no instance with room among so many that could serve it.
-  void RecordNoFreeSlot(Session& session, std::size_t places, common::Instant now);
+  void RecordNoFreeSlot(Session& session, std::size_t instances, common::Instant now);
   /// The session's operation takes an instance's room.
   void RecordStart(const Session& session, common::Instant now);
   /// Tells the observer of an operation that ends.
@@ -200,9 +201,9 @@
   bool TryStart(Session& session, common::Instant now);
   bool NeedsPrimary(const Session& session) const;
   std::vector<Placement> FindPlacements(const Session& session, common::Instant now);
-  bool StartOn(Session& session, const Placement& place, common::Instant now);
+  bool StartOn(Session& session, const Placement& placement, common::Instant now);
   /// Opens a connection for an operation that found none, at the first place that can take it.
-  void OpenConnectionFor(Session& session, const std::vector<Placement>& places,
+  void OpenConnectionFor(Session& session, const std::vector<Placement>& placements,
                          common::Instant now);
   bool AcceptsStatement(const Backend& backend, const Operation& operation,
                         common::Instant now) const;
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -36,10 +36,10 @@
     const Backend* primary = backends_.Find(groups_.UsablePrimary(service, now));
     const access::answer answer =
         primary == nullptr ? access::answer() : access_.judge(primary->Entry(), work, now);
-    const bool stays =
+    const bool primary_stays =
         answer.outcome == access::verdict::closed &&
         access_.judge_leader(primary->Entry(), now).fitness == model::LeaderFitness::kFit;
-    if (answer.outcome == access::verdict::later || stays) {
+    if (answer.outcome == access::verdict::later || primary_stays) {
       return answer;
     }
   }
@@ -62,24 +62,25 @@
 
 bool Dispatcher::RefuseBlocked(Session& session, common::Instant now) {
   const bool pinned = session.transaction.open && session.transaction.connection.has_value();
-  const auto barred =
+  const auto blocked =
       pinned ? BlockingAnswerInTransaction(session, now) : BlockingAnswer(session, now);
-  if (!barred) {
+  if (!blocked) {
     return false;
   }
   const Operation& operation = *session.operation;
-  const bool in_time =
-      barred->outcome == access::verdict::later &&
-      now + barred->come_back < std::min(operation.queue_deadline, operation.deadline);
-  if (in_time) {
+  const bool retry_in_time =
+      blocked->outcome == access::verdict::later &&
+      now + blocked->come_back < std::min(operation.queue_deadline, operation.deadline);
+  if (retry_in_time) {
     return false;
   }
-  ++counters_.blocked[barred->reason];
+  ++counters_.blocked[blocked->reason];
   if (pinned) {
     FailTransaction(session, now);
   }
   FinishWithError(session, pinned ? model::ErrorCode::kAborted : model::ErrorCode::kBusy,
-                  "retry_after_ms=" + Milliseconds(barred->come_back) + " " + barred->reason, now);
+                  "retry_after_ms=" + Milliseconds(blocked->come_back) + " " + blocked->reason,
+                  now);
   return true;
 }
 
@@ -89,15 +90,15 @@
   if (!transaction.open || !transaction.connection) {
     return;
   }
-  const auto barred = BlockingAnswerInTransaction(session, now);
-  if (!barred || barred->outcome != access::verdict::closed) {
+  const auto blocked = BlockingAnswerInTransaction(session, now);
+  if (!blocked || blocked->outcome != access::verdict::closed) {
     return;
   }
-  ++counters_.blocked[barred->reason];
+  ++counters_.blocked[blocked->reason];
   outbox_.Log("transaction_barred",
               {{"request", transaction.begin_request_id},
                {"instance", transaction.instance},
-               {"reason", barred->reason}},
+               {"reason", blocked->reason}},
               LogLevel::kWarning);
   FailTransaction(session, now);
 }
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -10,13 +10,13 @@
 
 constexpr common::Duration kReadOnlyPause{20'000};  // until a new primary may be known
 constexpr common::Duration kRetryPause{2'000};      // before an operation is placed again
-constexpr std::uint32_t kMostAttempts = 30;
+constexpr std::uint32_t kMaxAttempts = 30;
 /// Time for a connection that was asked for an operation to open; then another instance is asked.
 /// Four times a handshake of the users' sites.
-constexpr common::Duration kOpeningPatience{50'000};
+constexpr common::Duration kOpeningTimeout{50'000};
 /// Part of its longest wait after which an operation counts as crowded out: four fifths.
-constexpr int kCrowdedOutAfter = 4;
-constexpr int kCrowdedOutOf = 5;
+constexpr int kCrowdedOutNumerator = 4;
+constexpr int kCrowdedOutDenominator = 5;
 
 Urgency UrgencyOf(const model::Route& route) { return {route.priority, route.target_latency}; }
 
@@ -62,10 +62,11 @@
   const Operation& operation = *session.operation;
   const std::string& service = operation.route.service;
   const std::string primary = groups_.UsablePrimary(service, now);
-  const Backend* leader = backends_.Find(primary);
+  const Backend* primary_backend = backends_.Find(primary);
   if (NeedsPrimary(session)) {
-    if (leader == nullptr || !placement_.TakesWork(*leader, now) ||
-        access_.judge(leader->Entry(), WorkOf(session), now).outcome >= access::verdict::later) {
+    if (primary_backend == nullptr || !placement_.TakesWork(*primary_backend, now) ||
+        access_.judge(primary_backend->Entry(), WorkOf(session), now).outcome >=
+            access::verdict::later) {
       return {};
     }
     Placement at_primary;
@@ -92,8 +93,8 @@
   }
   starting_queued_ = true;
   while (std::exchange(start_queued_again_, false)) {
-    for (const waiting::place& place : queues_.order()) {
-      Session* session = FindSession(place.number);
+    for (const waiting::place& queued : queues_.order()) {
+      Session* session = FindSession(queued.number);
       if (now < session->operation->not_before) {
         continue;
       }
@@ -111,18 +112,18 @@
   Operation& operation = *session.operation;
   operation.waits_only_for_slot = false;
   const Transaction& transaction = session.transaction;
-  const tenants::admission_result found = IdentifyTenant(session, operation.route, now);
-  if (!StillAdmitted(session, found)) {
+  const tenants::admission_result current = IdentifyTenant(session, operation.route, now);
+  if (!StillAdmitted(session, current)) {
     return false;  // the next tick answers it
   }
-  operation.tenant = settings_.mechanisms.tenant_connections ? found.tenant : std::string();
+  operation.tenant = settings_.mechanisms.tenant_connections ? current.tenant : std::string();
   if (WouldCommit(session) && groups_.WritesStalled(operation.route.service, now)) {
     operation.last_refusal = "writes stay unanswered";
     return false;
   }
   if (transaction.open && transaction.connection) {
-    if (const auto barred = BlockingAnswerInTransaction(session, now)) {
-      operation.last_refusal = barred->reason;
+    if (const auto blocked = BlockingAnswerInTransaction(session, now)) {
+      operation.last_refusal = blocked->reason;
       return false;
     }
     Backend* backend = backends_.Find(transaction.instance);
@@ -132,33 +133,36 @@
     SendPreparation(session, *backend, *connection, std::nullopt, now);
     return true;
   }
-  const std::vector<Placement> places = FindPlacements(session, now);
-  if (places.empty()) {
+  const std::vector<Placement> placements = FindPlacements(session, now);
+  if (placements.empty()) {
     operation.last_refusal = NeedsPrimary(session) ? "no usable primary" : "no fresh instance";
     queues_.note_no_place(TargetOf(session), now);
     return false;
   }
-  const bool all_avoided = std::all_of(places.begin(), places.end(), [&](const Placement& place) {
-    return operation.avoided_instances.contains(place.instance);
-  });
+  const bool all_avoided =
+      std::all_of(placements.begin(), placements.end(), [&](const Placement& placement) {
+        return operation.avoided_instances.contains(placement.instance);
+      });
   if (all_avoided) {
     operation.avoided_instances.clear();
   }
-  for (const Placement& place : places) {
-    if (!operation.avoided_instances.contains(place.instance) && StartOn(session, place, now)) {
+  for (const Placement& placement : placements) {
+    if (!operation.avoided_instances.contains(placement.instance) &&
+        StartOn(session, placement, now)) {
       return true;
     }
   }
-  const bool any_takes = std::any_of(places.begin(), places.end(), [&](const Placement& place) {
-    return AcceptsStatement(*backends_.Find(place.instance), operation, now);
-  });
-  operation.last_refusal = any_takes ? "no free connection" : "instances are busy";
-  RecordNoFreeSlot(session, places.size(), now);
-  OpenConnectionFor(session, places, now);
+  const bool any_accepts =
+      std::any_of(placements.begin(), placements.end(), [&](const Placement& placement) {
+        return AcceptsStatement(*backends_.Find(placement.instance), operation, now);
+      });
+  operation.last_refusal = any_accepts ? "no free connection" : "instances are busy";
+  RecordNoFreeSlot(session, placements.size(), now);
+  OpenConnectionFor(session, placements, now);
   const common::Duration longest_wait = operation.queue_deadline - operation.arrived;
-  if (now >= operation.arrived + longest_wait * kCrowdedOutAfter / kCrowdedOutOf) {
-    for (const Placement& place : places) {
-      backends_.Find(place.instance)->NoteCrowdedOut(UrgencyOf(operation.route), now);
+  if (now >= operation.arrived + longest_wait * kCrowdedOutNumerator / kCrowdedOutDenominator) {
+    for (const Placement& placement : placements) {
+      backends_.Find(placement.instance)->NoteCrowdedOut(UrgencyOf(operation.route), now);
     }
   }
   return false;
@@ -175,18 +179,18 @@
     return false;
   }
   const Connection* connection = backends_.FindConnection(*operation.opening_connection);
-  return connection != nullptr && !connection->open && now < connection->created + kOpeningPatience;
+  return connection != nullptr && !connection->open && now < connection->created + kOpeningTimeout;
 }
 
-void Dispatcher::OpenConnectionFor(Session& session, const std::vector<Placement>& places,
+void Dispatcher::OpenConnectionFor(Session& session, const std::vector<Placement>& placements,
                                    common::Instant now) {
   Operation& operation = *session.operation;
   if (IsConnectionOpening(operation, now)) {
     return;
   }
-  for (const Placement& place : places) {
-    Backend& backend = *backends_.Find(place.instance);
-    const bool possible = !operation.avoided_instances.contains(place.instance) &&
+  for (const Placement& placement : placements) {
+    Backend& backend = *backends_.Find(placement.instance);
+    const bool possible = !operation.avoided_instances.contains(placement.instance) &&
                           AcceptsStatement(backend, operation, now) &&
                           backends_.MayOpenFor(backend, queues_.size());
     operation.opening_connection =
@@ -197,8 +201,8 @@
   }
 }
 
-bool Dispatcher::StartOn(Session& session, const Placement& place, common::Instant now) {
-  Backend& backend = *backends_.Find(place.instance);
+bool Dispatcher::StartOn(Session& session, const Placement& placement, common::Instant now) {
+  Backend& backend = *backends_.Find(placement.instance);
   if (!AcceptsStatement(backend, *session.operation, now)) {
     return false;
   }
@@ -209,12 +213,12 @@
   RecordStart(session, now);
   connection->session = session.number;
   Operation& operation = *session.operation;
-  operation.instance = place.instance;
+  operation.instance = placement.instance;
   operation.connection = connection->number;
-  operation.required_position_age = place.age;
-  operation.required_is_own_commit = place.own;
+  operation.required_position_age = placement.age;
+  operation.required_is_own_commit = placement.own;
   ++operation.attempts;
-  SendPreparation(session, backend, *connection, place.required, now);
+  SendPreparation(session, backend, *connection, placement.required, now);
   return true;
 }
 
@@ -222,10 +226,10 @@
     const Session& session, Connection& connection,
     const std::optional<common::Position>& required) const {
   std::vector<model::InstanceRequest> requests;
-  const bool surplus =
+  const bool has_extra_values =
       std::any_of(connection.values.begin(), connection.values.end(),
                   [&](const auto& value) { return !session.values.contains(value.first); });
-  if (surplus && settings_.mechanisms.session_reset) {
+  if (has_extra_values && settings_.mechanisms.session_reset) {
     requests.emplace_back(model::ControlRequest{model::ControlKind::kResetSession, 0});
     connection.values.clear();
     connection.prepared.clear();
@@ -416,8 +420,8 @@
   if (code == model::ErrorCode::kReadOnly) {
     groups_.Get(operation.route.service, now).round_at = common::Instant(0);
   }
-  const bool first = !session.transaction.open || !session.transaction.has_run_statement;
-  if (first && model::PromisesNothingKept(code) && operation.attempts < kMostAttempts) {
+  const bool nothing_has_run = !session.transaction.open || !session.transaction.has_run_statement;
+  if (nothing_has_run && model::PromisesNothingKept(code) && operation.attempts < kMaxAttempts) {
     ++counters_.retries;
     if (code != model::ErrorCode::kLagging) {
       outbox_.Log("request_retried", {{"request", operation.caller_command.request_id},
@@ -512,12 +516,13 @@
     return;
   }
   Operation& operation = *session->operation;
-  const bool first = !session->transaction.open || !session->transaction.has_run_statement;
+  const bool nothing_has_run =
+      !session->transaction.open || !session->transaction.has_run_statement;
   if (MayHaveCommitted(*session)) {
     FinishWithError(*session, model::ErrorCode::kInDoubt, "the connection was lost", now);
     return;
   }
-  if (first && operation.attempts < kMostAttempts) {
+  if (nothing_has_run && operation.attempts < kMaxAttempts) {
     ++counters_.retries;
     outbox_.Log("request_retried", {{"request", operation.caller_command.request_id},
                                     {"instance", backend.Entry().id},
--- a/src/proxy/dispatcher_tenants.cc
+++ b/src/proxy/dispatcher_tenants.cc
@@ -13,7 +13,7 @@
   std::string text;
 };
 
-std::string ComeBackAfter(common::Duration pause) {
+std::string RetryAfterText(common::Duration pause) {
   return "retry_after_ms=" + Milliseconds(pause);
 }
 
@@ -23,10 +23,10 @@
       return {model::ErrorCode::kDenied, "unknown key"};
     case tenants::verdict::unproven:
       return {model::ErrorCode::kBusy,
-              ComeBackAfter(result.come_back) + " keys cannot be checked now"};
+              RetryAfterText(result.come_back) + " keys cannot be checked now"};
     case tenants::verdict::over_limit:
       return {model::ErrorCode::kBusy,
-              ComeBackAfter(result.come_back) + " the tenant's rate is used up"};
+              RetryAfterText(result.come_back) + " the tenant's rate is used up"};
     case tenants::verdict::admitted:
       break;
   }
@@ -119,9 +119,9 @@
   return false;
 }
 
-bool Dispatcher::StillAdmitted(const Session& session, const tenants::admission_result& found) {
-  const bool same = !session.transaction.open || found.tenant == session.transaction.tenant;
-  return found.outcome == tenants::verdict::admitted && same;
+bool Dispatcher::StillAdmitted(const Session& session, const tenants::admission_result& current) {
+  const bool same = !session.transaction.open || current.tenant == session.transaction.tenant;
+  return current.outcome == tenants::verdict::admitted && same;
 }
 
 void Dispatcher::FailTransaction(Session& session, common::Instant now) {
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -9,20 +9,21 @@
 namespace valvekeel::proxy {
 namespace {
 
-constexpr common::Duration kStartLimit{1'500'000};  // for a session before the first configuration
-constexpr common::Duration kShortestResend{
+constexpr common::Duration kConfigurationWaitLimit{
+    1'500'000};  // for a session before the first configuration
+constexpr common::Duration kMinResendDelay{
     100'000};  // without an answer, before a read goes out again
-constexpr std::uint32_t kMostResends = 3;
-constexpr double kUsualLatencies = 4;  // latencies of the instance that are waited at least
-constexpr common::Duration kIdleSlack{200'000};
+constexpr std::uint32_t kMaxResends = 3;
+constexpr double kResendLatencyFactor = 4;  // latencies of the instance that are waited at least
+constexpr common::Duration kIdleTimeoutSlack{200'000};
 /// Time for the daemon that handed a session over to end it when asked to. A link whose bytes stay
 /// unacknowledged ends after the same time.
-constexpr common::Duration kGoodbyeTime{2'000'000};
-constexpr const char* kComeBack = "retry_after_ms=250 ";
-constexpr const char* kStops = "the daemon stops";
+constexpr common::Duration kEndRequestTimeout{2'000'000};
+constexpr const char* kRetryAfter = "retry_after_ms=250 ";
+constexpr const char* kDaemonStops = "the daemon stops";
 
 /// @return true if the caller was just told that it may begin.
-bool AwaitsFirst(const CallerSession& session, common::Instant now) {
+bool AwaitsFirstCommand(const CallerSession& session, common::Instant now) {
   return !session.received_command && now < session.started + relay::FIRST_COMMAND_TIME;
 }
 
@@ -33,29 +34,30 @@
   const Operation& operation = *session.operation;
   const bool reads = !IsWrite(session) || !settings_.mechanisms.unknown_outcomes;
   const bool single_read = !session.transaction.open && reads;
-  const bool first_of_transaction =
+  const bool begins_transaction =
       session.transaction.open && !session.transaction.has_run_statement &&
       operation.caller_command.command.kind != model::CommandKind::kCommit;
-  if ((!single_read && !first_of_transaction) || operation.resends >= kMostResends) {
+  if ((!single_read && !begins_transaction) || operation.resends >= kMaxResends) {
     return false;
   }
   if (backend.Unreachable()) {
     return true;
   }
   // An instance that is slow for all has not lost the answer.
-  const common::Duration usual(static_cast<std::int64_t>(kUsualLatencies * backend.LatencyUs()));
-  const common::Duration patience =
-      std::max({kShortestResend, operation.route.target_latency / 2, usual});
-  return now >= operation.sent + patience;
+  const common::Duration usual_wait(
+      static_cast<std::int64_t>(kResendLatencyFactor * backend.LatencyUs()));
+  const common::Duration resend_delay =
+      std::max({kMinResendDelay, operation.route.target_latency / 2, usual_wait});
+  return now >= operation.sent + resend_delay;
 }
 
 void Dispatcher::CheckOperation(Session& session, common::Instant now) {
   Operation& operation = *session.operation;
   if (operation.phase == OperationPhase::kQueued) {
-    const tenants::admission_result found = IdentifyTenant(session, operation.route, now);
-    if (!StillAdmitted(session, found)) {
-      LogRejection(operation.caller_command.request_id, operation.route, found);
-      const bool unknown = found.outcome == tenants::verdict::unknown_key;
+    const tenants::admission_result current = IdentifyTenant(session, operation.route, now);
+    if (!StillAdmitted(session, current)) {
+      LogRejection(operation.caller_command.request_id, operation.route, current);
+      const bool unknown = current.outcome == tenants::verdict::unknown_key;
       FinishWithError(session, unknown ? model::ErrorCode::kDenied : model::ErrorCode::kAborted,
                       "the key is no longer in force", now);
       return;
@@ -81,25 +83,26 @@
                                    {"attempt", std::to_string(operation.attempts)}});
     AbandonSentRequest(session, now);
     // A fresh measure of patience elsewhere, within the statement's time.
-    operation.queue_deadline = std::max(operation.queue_deadline, now + kShortestResend);
+    operation.queue_deadline = std::max(operation.queue_deadline, now + kMinResendDelay);
     Requeue(session, operation.instance, "no answer", common::Duration(0), now);
     return;
   }
-  const bool replaced = backend != nullptr && backend->Unreachable() && NeedsPrimary(session) &&
-                        groups_.UsablePrimary(operation.route.service, now) != operation.instance;
-  if (now < operation.deadline && !replaced) {
+  const bool primary_lost =
+      backend != nullptr && backend->Unreachable() && NeedsPrimary(session) &&
+      groups_.UsablePrimary(operation.route.service, now) != operation.instance;
+  if (now < operation.deadline && !primary_lost) {
     return;
   }
-  FinishInterrupted(session, replaced ? "the primary is lost" : "the statement's time is over",
+  FinishInterrupted(session, primary_lost ? "the primary is lost" : "the statement's time is over",
                     now);
 }
 
 void Dispatcher::FinishInterrupted(Session& session, const char* reason, common::Instant now) {
-  const bool committed = MayHaveCommitted(session);
+  const bool may_have_committed = MayHaveCommitted(session);
   const bool in_transaction = session.transaction.open;
   const bool sent = session.operation->phase == OperationPhase::kRunning;
   AbandonSentRequest(session, now);
-  if (committed) {
+  if (may_have_committed) {
     FinishWithError(session, model::ErrorCode::kInDoubt, reason, now);
   } else if (in_transaction) {
     FinishWithError(session, model::ErrorCode::kAborted, reason, now);
@@ -113,9 +116,9 @@
   Transaction& transaction = session.transaction;
   const common::Duration limit =
       configuration_ == nullptr ? common::Duration(0) : configuration_->transaction_idle;
-  const bool rests = !session.operation && transaction.connection && !transaction.failed;
-  if (!rests || limit == common::Duration(0) ||
-      now < transaction.last_active + limit + kIdleSlack) {
+  const bool idle = !session.operation && transaction.connection && !transaction.failed;
+  if (!idle || limit == common::Duration(0) ||
+      now < transaction.last_active + limit + kIdleTimeoutSlack) {
     return;
   }
   outbox_.Log("transaction_ended", {{"request", transaction.begin_request_id},
@@ -156,9 +159,9 @@
       continue;
     }
     if (!session->accepted) {
-      if (now >= session->started + kStartLimit) {
+      if (now >= session->started + kConfigurationWaitLimit) {
         outbox_.Emit(CloseSession{number, true, model::ErrorCode::kBusy,
-                                  std::string(kComeBack) + "no configuration yet"});
+                                  std::string(kRetryAfter) + "no configuration yet"});
         SessionClosed(number, now);
       }
       continue;
@@ -186,41 +189,47 @@
   return services;
 }
 
-void Dispatcher::EndAllIdleSessions(bool all, common::Instant now) {
+void Dispatcher::EndAllIdleSessions(bool include_transactions, common::Instant now) {
   // Ended by the next tick, a session that was just accepted loses its first command on the way.
-  const auto chosen = [&](const Session& session) { return all || !AwaitsFirst(session, now); };
-  EndSessions(chosen, all ? SessionEndCondition::kBetweenCommands : SessionEndCondition::kIdle,
-              kStops, now);
+  const auto selected = [&](const Session& session) {
+    return include_transactions || !AwaitsFirstCommand(session, now);
+  };
+  EndSessions(
+      selected,
+      include_transactions ? SessionEndCondition::kBetweenCommands : SessionEndCondition::kIdle,
+      kDaemonStops, now);
 }
 
 void Dispatcher::InterruptOperation(Session& session, const char* reason, common::Instant now) {
   session.end_reason = reason;
   const Operation& operation = *session.operation;
-  const bool waits = operation.phase == OperationPhase::kQueued;
-  const bool begun = session.transaction.open && !waits;
-  if (begun || operation.phase == OperationPhase::kRunning) {
+  const bool queued = operation.phase == OperationPhase::kQueued;
+  const bool transaction_begun = session.transaction.open && !queued;
+  if (transaction_begun || operation.phase == OperationPhase::kRunning) {
     FinishInterrupted(session, reason, now);
     return;
   }
   // A read, or the first statement of a transaction, may have been sent before without an answer.
-  const bool ran = operation.attempts > (waits ? 0U : 1U);
-  const std::string text = std::string(kComeBack) + (ran ? "" : "not run: ") + reason;
+  const bool may_have_run = operation.attempts > (queued ? 0U : 1U);
+  const std::string text = std::string(kRetryAfter) + (may_have_run ? "" : "not run: ") + reason;
   AbandonSentRequest(session, now);
   FinishWithError(session, model::ErrorCode::kBusy, text, now);
 }
 
 void Dispatcher::EndAllSessions(common::Instant now) {
   stopped_ = true;
-  EndSessions([](const Session&) { return true; }, SessionEndCondition::kImmediately, kStops, now);
+  EndSessions([](const Session&) { return true; }, SessionEndCondition::kImmediately, kDaemonStops,
+              now);
 }
 
-void Dispatcher::EndIdleSessionsOfService(const std::string& service, bool handed_over,
+void Dispatcher::EndIdleSessionsOfService(const std::string& service, bool include_handed_over,
                                           common::Instant now) {
   EndSessions(
       [&](const Session& session) {
         const model::Route* route = RouteOf(session);
-        const bool may_end = handed_over || session.accepts_end_request || !session.handed_over;
-        return may_end && !AwaitsFirst(session, now) && route != nullptr &&
+        const bool may_end =
+            include_handed_over || session.accepts_end_request || !session.handed_over;
+        return may_end && !AwaitsFirstCommand(session, now) && route != nullptr &&
                route->service == service;
       },
       SessionEndCondition::kIdle, "owned by other daemons", now);
@@ -246,41 +255,42 @@
                                  {"unanswered", std::to_string(unanswered)}});
 }
 
-std::size_t Dispatcher::EndSessions(const std::function<bool(const CallerSession&)>& chosen,
-                                    SessionEndCondition when, const char* reason,
+std::size_t Dispatcher::EndSessions(const std::function<bool(const CallerSession&)>& selected,
+                                    SessionEndCondition condition, const char* reason,
                                     common::Instant now) {
-  std::size_t left = 0;
-  std::size_t asked = 0;
+  std::size_t remaining = 0;
+  std::size_t requested = 0;
   std::vector<SessionNumber> ending;
   for (auto& [number, session] : sessions_) {
-    if (!chosen(session)) {
+    if (!selected(session)) {
       continue;
     }
-    const bool to_be_asked =
-        when == SessionEndCondition::kIdle && session.accepted && session.accepts_end_request;
-    if (to_be_asked && !session.end_requested_at) {
+    const bool ends_on_request =
+        condition == SessionEndCondition::kIdle && session.accepted && session.accepts_end_request;
+    if (ends_on_request && !session.end_requested_at) {
       // What rests here may have its next command on the link: of 238 links that owners closed
       // on a command in three days of planned stops, 209 did within 10 ms of it.
       session.end_requested_at = now;
       outbox_.Emit(AskToEnd{number});
-      ++asked;
+      ++requested;
     }
-    if (to_be_asked && now < *session.end_requested_at + kGoodbyeTime) {
-      ++left;
+    if (ends_on_request && now < *session.end_requested_at + kEndRequestTimeout) {
+      ++remaining;
       continue;
     }
-    const bool answered = !session.operation;
-    const bool rests = answered && !session.transaction.open;
-    const bool may_end = rests || when == SessionEndCondition::kImmediately ||
-                         (answered && when == SessionEndCondition::kBetweenCommands);
-    if (may_end && when != SessionEndCondition::kNotYet) {
+    const bool between_commands = !session.operation;
+    const bool idle = between_commands && !session.transaction.open;
+    const bool may_end = idle || condition == SessionEndCondition::kImmediately ||
+                         (between_commands && condition == SessionEndCondition::kBetweenCommands);
+    if (may_end && condition != SessionEndCondition::kNotYet) {
       ending.push_back(number);
     } else {
-      ++left;
+      ++remaining;
     }
   }
-  if (asked > 0) {
-    outbox_.Log("sessions_asked_to_end", {{"reason", reason}, {"sessions", std::to_string(asked)}});
+  if (requested > 0) {
+    outbox_.Log("sessions_asked_to_end",
+                {{"reason", reason}, {"sessions", std::to_string(requested)}});
   }
   LogEndingSessions(ending, reason);
   for (const SessionNumber number : ending) {
@@ -289,14 +299,14 @@
       InterruptOperation(session, reason, now);
     }
     // Before it is accepted, one that was handed over is taken by another owner if it ends unheard.
-    const bool untold =
+    const bool with_error =
         !session.accepted && !(session.handed_over && session.pending_commands.empty());
-    outbox_.Emit(untold ? CloseSession{number, true, model::ErrorCode::kBusy,
-                                       std::string(kComeBack) + reason}
-                        : CloseSession{number});
+    outbox_.Emit(with_error ? CloseSession{number, true, model::ErrorCode::kBusy,
+                                           std::string(kRetryAfter) + reason}
+                            : CloseSession{number});
     SessionClosed(number, now);
   }
-  return left;
+  return remaining;
 }
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/dispatcher_waiting.cc
+++ b/src/proxy/dispatcher_waiting.cc
@@ -12,9 +12,9 @@
 constexpr const char* kRefusedEarly = "refused early: ";
 /// Time in which refusals of one session, without a success between, count as attempts of one
 /// request: the shortest deadline of the callers that try again.
-constexpr common::Duration kRetryMemory{2'000'000};
+constexpr common::Duration kRetryWindow{2'000'000};
 
-common::Instant HoldEnd(const Operation& operation) {
+common::Instant QueueEnd(const Operation& operation) {
   return std::min(operation.queue_deadline, operation.deadline);
 }
 
@@ -33,16 +33,16 @@
   waiter.priority = operation.route.priority;
   waiter.target_latency = operation.route.target_latency;
   waiter.arrived = operation.arrived;
-  waiter.hold_until = HoldEnd(operation);
+  waiter.hold_until = QueueEnd(operation);
   const waiting::target target = TargetOf(session);
   waiter.needs = target.needs;
   queues_.add(target.service, waiter, operation.waits_only_for_slot);
 }
 
-void Dispatcher::RecordNoFreeSlot(Session& session, std::size_t places, common::Instant now) {
+void Dispatcher::RecordNoFreeSlot(Session& session, std::size_t instances, common::Instant now) {
   // Of a read that was sent and not answered it is not known that it did not run.
   session.operation->waits_only_for_slot = session.operation->resends == 0;
-  queues_.note_blocked(TargetOf(session), places, now);
+  queues_.note_blocked(TargetOf(session), instances, now);
 }
 
 void Dispatcher::RecordStart(const Session& session, common::Instant now) {
@@ -58,16 +58,16 @@
   if (load_observer_ == nullptr || in_transaction) {
     return;
   }
-  waiting::arrival came;
-  came.at = operation.arrived;
-  came.service = operation.route.service;
-  came.needs = TargetOf(session).needs;
-  came.tenant = operation.tenant;
-  came.priority = operation.route.priority;
-  came.target_latency = operation.route.target_latency;
-  came.hold = HoldEnd(operation) - operation.arrived;
-  came.work = sent ? now - operation.sent : common::Duration(0);
-  load_observer_->note_operation(came);
+  waiting::arrival reported;
+  reported.at = operation.arrived;
+  reported.service = operation.route.service;
+  reported.needs = TargetOf(session).needs;
+  reported.tenant = operation.tenant;
+  reported.priority = operation.route.priority;
+  reported.target_latency = operation.route.target_latency;
+  reported.hold = QueueEnd(operation) - operation.arrived;
+  reported.work = sent ? now - operation.sent : common::Duration(0);
+  load_observer_->note_operation(reported);
 }
 
 void Dispatcher::ReportCapacity(common::Instant now) {
@@ -94,14 +94,14 @@
   if (!settings_.early_refusal) {
     return;
   }
-  for (const waiting::hopeless& found : queues_.find_hopeless(now)) {
-    Session* session = FindSession(found.number);
-    const bool waits = session != nullptr && session->operation &&
-                       session->operation->phase == OperationPhase::kQueued;
-    if (!waits) {
+  for (const waiting::hopeless& late : queues_.find_hopeless(now)) {
+    Session* session = FindSession(late.number);
+    const bool queued = session != nullptr && session->operation &&
+                        session->operation->phase == OperationPhase::kQueued;
+    if (!queued) {
       continue;  // another's refusal gave it room
     }
-    session->operation->expected_wait = found.likely_wait;
+    session->operation->expected_wait = late.likely_wait;
     ++counters_.refused_early;
     RefuseWithRetryAfter(*session, std::string(kRefusedEarly) + session->operation->last_refusal,
                          now);
@@ -120,12 +120,12 @@
 void Dispatcher::RefuseWithRetryAfter(Session& session, const std::string& reason,
                                       common::Instant now) {
   const Operation& operation = *session.operation;
-  const bool tries_again = session.refused_since && now < *session.refused_since + kRetryMemory;
-  session.refused_since = tries_again ? *session.refused_since : operation.arrived;
+  const bool is_retry = session.refused_since && now < *session.refused_since + kRetryWindow;
+  session.refused_since = is_retry ? *session.refused_since : operation.arrived;
   waiting::refused_attempt refused;
   refused.session = session.number;
   refused.since_first = now - *session.refused_since;
-  refused.hold = HoldEnd(operation) - operation.arrived;
+  refused.hold = QueueEnd(operation) - operation.arrived;
   refused.target_latency = operation.route.target_latency;
   refused.likely_wait = operation.expected_wait;
   const common::Duration pause = waiting::come_back(refused);
