--- a/tests/proxy/dispatcher_access_test.cc
+++ b/tests/proxy/dispatcher_access_test.cc
@@ -1,4 +1,4 @@
-// What the access rules mean for callers: who moves, who waits, who is refused at once.
+// Tests of the dispatcher with access rules: placement, queueing, refusals, ended transactions.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -15,10 +15,10 @@
 
 constexpr common::Instant kStart{10'000'000};
 constexpr common::Duration kMillisecond{1'000};
-constexpr SessionNumber kCaller = 1;
+constexpr SessionNumber kSession = 1;
 constexpr const char* kReason = "kept away";
 
-/// Answers by instance as a test sets it.
+/// Gives each instance the verdict that the test sets.
 class FakeRule : public access::rule {
  public:
   access::answer judge(const model::InstanceEntry& instance, const access::work& /*asked*/,
@@ -27,28 +27,28 @@
     if (found == this->verdicts.end()) {
       return {};
     }
-    return {found->second, kReason, this->come_back};
+    return {found->second, kReason, this->retry_after};
   }
 
   access::leader_answer judge_leader(const model::InstanceEntry& instance,
                                      common::Instant /*now*/) const override {
-    return {this->leaving.contains(instance.id) ? model::LeaderFitness::kUnfit
-                                                : model::LeaderFitness::kFit,
+    return {this->unfit_to_lead.contains(instance.id) ? model::LeaderFitness::kUnfit
+                                                      : model::LeaderFitness::kFit,
             kReason};
   }
 
   void note_sent(const model::InstanceEntry& instance, std::size_t requests,
                  common::Instant /*now*/) override {
-    this->sent[instance.id] += requests;
+    this->sent_requests[instance.id] += requests;
   }
 
   std::map<std::string, access::verdict> verdicts;
-  std::set<std::string> leaving;  // should not lead
-  std::map<std::string, std::size_t> sent;
-  common::Duration come_back{400'000};
+  std::set<std::string> unfit_to_lead;
+  std::map<std::string, std::size_t> sent_requests;
+  common::Duration retry_after{400'000};
 };
 
-/// One daemon before a primary "p" and a replica "r", which hold one connection of it each.
+/// A daemon with one connection each to a primary "p" and a replica "r".
 struct AccessFixture {
   AccessFixture() {
     settings.mechanisms.read_lease = false;
@@ -77,11 +77,11 @@
     route.target_latency = std::chrono::milliseconds(200);
     configuration.routes["orders"] = route;
     dispatcher.SetConfiguration(&configuration, kStart);
-    dispatcher.SessionStarted(kCaller, "orders", {}, kStart);
+    dispatcher.SessionStarted(kSession, "orders", {}, kStart);
     for (auto& [id, backend] : backends.All()) {
       REQUIRE(backends.Open(backend, kStart));
     }
-    for (const OpenConnection& opened : Taken<OpenConnection>()) {
+    for (const OpenConnection& opened : ConsumeActions<OpenConnection>()) {
       connections[opened.instance] = opened.connection;
       backends.Opened(opened.connection, kStart);
     }
@@ -89,26 +89,26 @@
   }
 
   template <typename Kind>
-  std::vector<Kind> Taken() {
-    std::vector<Kind> found;
+  std::vector<Kind> ConsumeActions() {
+    std::vector<Kind> matching;
     for (const Action& action : outbox.Take()) {
       if (const auto* kind = std::get_if<Kind>(&action)) {
-        found.push_back(*kind);
+        matching.push_back(*kind);
       }
     }
-    return found;
+    return matching;
   }
 
-  void Ask(model::CommandKind kind, common::Instant now = kStart) {
+  void SendCommand(model::CommandKind kind, common::Instant now = kStart) {
     model::Command command;
     command.kind = kind;
     command.arguments = "k";
-    dispatcher.CommandReceived(kCaller, {"r" + std::to_string(++requests), command}, now);
+    dispatcher.CommandReceived(kSession, {"r" + std::to_string(++requests), command}, now);
   }
 
-  /// @return the connection that the only request went to, 0 if there was not exactly one.
-  ConnectionNumber SentTo() {
-    const auto sent = Taken<SendRequests>();
+  /// @return the connection of the only request sent, 0 if there was not exactly one.
+  ConnectionNumber ConnectionOfOnlyRequest() {
+    const auto sent = ConsumeActions<SendRequests>();
     return sent.size() == 1 ? sent.front().connection : 0;
   }
 
@@ -128,97 +128,99 @@
 
 }  // namespace
 
-TEST_CASE("A read goes where the rules let it", "[proxy][access]") {
+TEST_CASE("A read runs at an instance that the access rules allow", "[proxy][access]") {
   AccessFixture fixture;
   fixture.rule.verdicts["r"] = access::verdict::closed;
-  fixture.Ask(model::CommandKind::kRead);
-  CHECK(fixture.SentTo() == fixture.connections["p"]);
-  CHECK(fixture.rule.sent["p"] == 1);
+  fixture.SendCommand(model::CommandKind::kRead);
+  CHECK(fixture.ConnectionOfOnlyRequest() == fixture.connections["p"]);
+  CHECK(fixture.rule.sent_requests["p"] == 1);
 }
 
-TEST_CASE("An instance for overflow comes behind the open ones", "[proxy][access]") {
+TEST_CASE("An overflow instance is placed after the open instances", "[proxy][access]") {
   AccessFixture fixture;
   fixture.rule.verdicts["r"] = access::verdict::overflow;
-  fixture.Ask(model::CommandKind::kRead);
-  CHECK(fixture.SentTo() == fixture.connections["p"]);
+  fixture.SendCommand(model::CommandKind::kRead);
+  CHECK(fixture.ConnectionOfOnlyRequest() == fixture.connections["p"]);
 }
 
 TEST_CASE("An instance of last resort is used if there is no other", "[proxy][access]") {
   AccessFixture fixture;
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.rule.verdicts["r"] = access::verdict::last_resort;
-  fixture.Ask(model::CommandKind::kRead);
-  CHECK(fixture.SentTo() == fixture.connections["r"]);
+  fixture.SendCommand(model::CommandKind::kRead);
+  CHECK(fixture.ConnectionOfOnlyRequest() == fixture.connections["r"]);
 }
 
-TEST_CASE("What no instance may run is refused at once with a time to come back",
+TEST_CASE("An operation that no instance may run is refused at once with a retry-after time",
           "[proxy][access]") {
   AccessFixture fixture;
   fixture.rule.verdicts = {{"p", access::verdict::closed}, {"r", access::verdict::closed}};
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.SendCommand(model::CommandKind::kRead);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kBusy);
   CHECK(answers.front().reply.error_text == "retry_after_ms=400 kept away");
-  CHECK(fixture.rule.sent.empty());
+  CHECK(fixture.rule.sent_requests.empty());
 }
 
-TEST_CASE("A rule that lets work through too late refuses it at once", "[proxy][access]") {
+TEST_CASE("An operation is refused at once if the rules allow it only after its queue deadline",
+          "[proxy][access]") {
   AccessFixture fixture;
   fixture.rule.verdicts = {{"p", access::verdict::later}, {"r", access::verdict::closed}};
-  fixture.rule.come_back = std::chrono::milliseconds(20);
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.rule.retry_after = std::chrono::milliseconds(20);
+  fixture.SendCommand(model::CommandKind::kRead);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.Taken<AnswerCaller>().empty());
-  fixture.rule.come_back = std::chrono::milliseconds(400);
+  CHECK(fixture.ConsumeActions<AnswerCaller>().empty());
+  fixture.rule.retry_after = std::chrono::milliseconds(400);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.Taken<AnswerCaller>().size() == 1);
+  CHECK(fixture.ConsumeActions<AnswerCaller>().size() == 1);
 }
 
 TEST_CASE("A write waits for a primary that is to be replaced", "[proxy][access]") {
   AccessFixture fixture;
   fixture.rule.verdicts["p"] = access::verdict::closed;
-  fixture.rule.leaving = {"p"};
-  fixture.Ask(model::CommandKind::kWrite);
+  fixture.rule.unfit_to_lead = {"p"};
+  fixture.SendCommand(model::CommandKind::kWrite);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.Taken<AnswerCaller>().empty());
-  CHECK(fixture.rule.sent.empty());
+  CHECK(fixture.ConsumeActions<AnswerCaller>().empty());
+  CHECK(fixture.rule.sent_requests.empty());
 }
 
 TEST_CASE("A write is refused at once if its primary is closed for it and stays the primary",
           "[proxy][access]") {
   AccessFixture fixture;
   fixture.rule.verdicts["p"] = access::verdict::closed;
-  fixture.Ask(model::CommandKind::kWrite);
+  fixture.SendCommand(model::CommandKind::kWrite);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error_text == "retry_after_ms=400 kept away");
-  CHECK(fixture.rule.sent.empty());
+  CHECK(fixture.rule.sent_requests.empty());
 }
 
-TEST_CASE("A transaction at an instance that closes is rolled back, and its end is told so",
-          "[proxy][access]") {
+TEST_CASE(
+    "A transaction at an instance that closes is rolled back, and its COMMIT answered as aborted",
+    "[proxy][access]") {
   AccessFixture fixture;
-  fixture.Ask(model::CommandKind::kBegin);
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.SendCommand(model::CommandKind::kBegin);
+  fixture.SendCommand(model::CommandKind::kRead);
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  const ConnectionNumber connection = fixture.SentTo();
+  const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
   REQUIRE(connection == fixture.connections["p"]);
   fixture.backends.Answered(connection, reply, kStart);  // BEGIN
   fixture.backends.Answered(connection, reply, kStart);  // READ
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  const auto sent = fixture.Taken<SendRequests>();
+  const auto sent = fixture.ConsumeActions<SendRequests>();
   REQUIRE(sent.size() == 1);
   CHECK(std::get<model::SessionRequest>(sent.front().requests.front()).command.kind ==
         model::CommandKind::kRollback);
-  fixture.Ask(model::CommandKind::kCommit);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  fixture.SendCommand(model::CommandKind::kCommit);
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kAborted);
 }
@@ -226,15 +228,15 @@
 TEST_CASE("A transaction that has failed at an instance that closes is rolled back too",
           "[proxy][access]") {
   AccessFixture fixture;
-  fixture.Ask(model::CommandKind::kBegin);
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.SendCommand(model::CommandKind::kBegin);
+  fixture.SendCommand(model::CommandKind::kRead);
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  const ConnectionNumber connection = fixture.SentTo();
+  const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
   fixture.backends.Answered(connection, reply, kStart);  // BEGIN
   fixture.backends.Answered(connection, reply, kStart);  // READ
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.SendCommand(model::CommandKind::kRead);
   model::Reply failure;
   failure.error = model::ErrorCode::kFailed;
   failure.state = model::TransactionState::kFailed;
@@ -242,23 +244,24 @@
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.SentTo() == connection);  // ROLLBACK
-  fixture.Ask(model::CommandKind::kRollback, kStart + 2 * kMillisecond);
-  CHECK(fixture.Taken<SendRequests>().empty());
+  CHECK(fixture.ConnectionOfOnlyRequest() == connection);  // ROLLBACK
+  fixture.SendCommand(model::CommandKind::kRollback, kStart + 2 * kMillisecond);
+  CHECK(fixture.ConsumeActions<SendRequests>().empty());
 }
 
-TEST_CASE("A statement that runs as its instance closes ends with its connection",
-          "[proxy][access]") {
+TEST_CASE(
+    "A transaction whose instance closes while a statement runs ends by closing its connection",
+    "[proxy][access]") {
   AccessFixture fixture;
-  fixture.Ask(model::CommandKind::kBegin);
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.SendCommand(model::CommandKind::kBegin);
+  fixture.SendCommand(model::CommandKind::kRead);
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  const ConnectionNumber connection = fixture.SentTo();
+  const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
   fixture.backends.Answered(connection, reply, kStart);  // BEGIN
   fixture.backends.Answered(connection, reply, kStart);  // READ
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.SendCommand(model::CommandKind::kRead);
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
@@ -273,18 +276,18 @@
   };
   CHECK(is(static_cast<CloseConnection*>(nullptr)));
   CHECK_FALSE(is(static_cast<SendRequests*>(nullptr)));
-  fixture.Ask(model::CommandKind::kCommit);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  fixture.SendCommand(model::CommandKind::kCommit);
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kAborted);
 }
 
-TEST_CASE("A first statement refused after its instance closed leaves no ROLLBACK behind",
+TEST_CASE("A first statement refused after its instance closed causes no ROLLBACK",
           "[proxy][access]") {
   AccessFixture fixture;
-  fixture.Ask(model::CommandKind::kBeginReadOnly);
-  fixture.Ask(model::CommandKind::kRead);
-  const ConnectionNumber connection = fixture.SentTo();
+  fixture.SendCommand(model::CommandKind::kBeginReadOnly);
+  fixture.SendCommand(model::CommandKind::kRead);
+  const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
   const std::string instance = connection == fixture.connections["p"] ? "p" : "r";
   model::Reply reply;
   reply.succeeded = true;
@@ -298,19 +301,19 @@
   refusal.state = model::TransactionState::kOpen;
   fixture.backends.Answered(connection, refusal, kStart + 90 * kMillisecond);
   fixture.dispatcher.Tick(kStart + 100 * kMillisecond);
-  for (const SendRequests& sent : fixture.Taken<SendRequests>()) {
+  for (const SendRequests& sent : fixture.ConsumeActions<SendRequests>()) {
     CHECK(sent.connection != connection);
   }
   CHECK(fixture.backends.FindConnection(connection) == nullptr);
 }
 
-TEST_CASE("A statement whose instance closes while it is prepared runs elsewhere",
+TEST_CASE("A statement whose instance closes during its preparation runs at another instance",
           "[proxy][access]") {
   AccessFixture fixture;
-  fixture.Ask(model::CommandKind::kSet);
+  fixture.SendCommand(model::CommandKind::kSet);
   fixture.outbox.Take();
-  fixture.Ask(model::CommandKind::kRead);
-  const auto prepared = fixture.Taken<SendRequests>();
+  fixture.SendCommand(model::CommandKind::kRead);
+  const auto prepared = fixture.ConsumeActions<SendRequests>();
   REQUIRE(prepared.size() == 1);
   const ConnectionNumber first = prepared.front().connection;
   const bool at_primary = first == fixture.connections["p"];
@@ -321,7 +324,7 @@
     fixture.backends.Answered(first, reply, kStart + kMillisecond);
   }
   fixture.dispatcher.Tick(kStart + 10 * kMillisecond);
-  for (const SendRequests& sent : fixture.Taken<SendRequests>()) {
+  for (const SendRequests& sent : fixture.ConsumeActions<SendRequests>()) {
     CHECK(sent.connection == fixture.connections[at_primary ? "r" : "p"]);
   }
   CHECK(fixture.backends.FindConnection(first) == nullptr);
@@ -329,22 +332,22 @@
 
 TEST_CASE("A statement is counted when its preparation is sent, and not again", "[proxy][access]") {
   AccessFixture fixture;
-  fixture.Ask(model::CommandKind::kBegin);
-  fixture.Ask(model::CommandKind::kRead);
-  const ConnectionNumber connection = fixture.SentTo();
+  fixture.SendCommand(model::CommandKind::kBegin);
+  fixture.SendCommand(model::CommandKind::kRead);
+  const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
   REQUIRE(connection == fixture.connections["p"]);
-  CHECK(fixture.rule.sent["p"] == 2);  // the begin, and the read that will follow
+  CHECK(fixture.rule.sent_requests["p"] == 2);  // BEGIN, and the READ that follows
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
   fixture.backends.Answered(connection, reply, kStart);
-  CHECK(fixture.SentTo() == connection);
-  CHECK(fixture.rule.sent["p"] == 2);
+  CHECK(fixture.ConnectionOfOnlyRequest() == connection);
+  CHECK(fixture.rule.sent_requests["p"] == 2);
 }
 
 namespace {
 
-/// The same with the rule for instances that have just started; this daemon may use no cold one.
+/// The same with the warm-up rule; this daemon may use no cold instance.
 struct WarmUpFixture : AccessFixture {
   WarmUpFixture() {
     configuration.services["ledger"].warm_up = {std::chrono::seconds(6), 8};
@@ -361,13 +364,14 @@
 
 }  // namespace
 
-TEST_CASE("What only cold instances could serve is refused at once", "[proxy][warm_up]") {
+TEST_CASE("An operation that only cold instances could serve is refused at once",
+          "[proxy][warm_up]") {
   WarmUpFixture fixture;
   fixture.MakeCold("p");
   fixture.MakeCold("r");
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.SendCommand(model::CommandKind::kRead);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error_text == "retry_after_ms=300 cold");
 }
@@ -375,9 +379,9 @@
 TEST_CASE("A write is refused at once while the primary is cold", "[proxy][warm_up]") {
   WarmUpFixture fixture;
   fixture.MakeCold("p");
-  fixture.Ask(model::CommandKind::kWrite);
+  fixture.SendCommand(model::CommandKind::kWrite);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kBusy);
 }
@@ -385,25 +389,25 @@
 TEST_CASE("A read goes to the warm instance while the other is cold", "[proxy][warm_up]") {
   WarmUpFixture fixture;
   fixture.MakeCold("r");
-  fixture.Ask(model::CommandKind::kRead);
-  CHECK(fixture.SentTo() == fixture.connections["p"]);
+  fixture.SendCommand(model::CommandKind::kRead);
+  CHECK(fixture.ConnectionOfOnlyRequest() == fixture.connections["p"]);
 }
 
-TEST_CASE("A statement that waits to go on with a transaction ends when its connection is lost",
+TEST_CASE("A queued statement of a transaction fails when the transaction's connection is lost",
           "[proxy][access]") {
-  // Found by review: it was placed anew, in a new transaction, and an empty COMMIT succeeded.
+  // Otherwise it would be placed again in a new transaction, and an empty COMMIT would succeed.
   AccessFixture fixture;
-  fixture.Ask(model::CommandKind::kBegin);
-  fixture.Ask(model::CommandKind::kRead);
-  const ConnectionNumber connection = fixture.SentTo();
+  fixture.SendCommand(model::CommandKind::kBegin);
+  fixture.SendCommand(model::CommandKind::kRead);
+  const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
   fixture.backends.Answered(connection, reply, kStart);  // BEGIN
   fixture.backends.Answered(connection, reply, kStart);  // READ
   fixture.rule.verdicts["p"] = access::verdict::later;
-  fixture.rule.come_back = kMillisecond;
-  fixture.Ask(model::CommandKind::kCommit);
+  fixture.rule.retry_after = kMillisecond;
+  fixture.SendCommand(model::CommandKind::kCommit);
   fixture.outbox.Take();
   fixture.rule.verdicts.clear();
   fixture.backends.Closed(connection, kStart + kMillisecond);
@@ -412,8 +416,8 @@
   std::optional<model::Reply> answer;
   for (const Action& action : fixture.outbox.Take()) {
     sent += std::holds_alternative<SendRequests>(action) ? 1 : 0;
-    if (const auto* told = std::get_if<AnswerCaller>(&action)) {
-      answer = told->reply;
+    if (const auto* answered = std::get_if<AnswerCaller>(&action)) {
+      answer = answered->reply;
     }
   }
   CHECK(sent == 0);
--- a/tests/proxy/dispatcher_regions_test.cc
+++ b/tests/proxy/dispatcher_regions_test.cc
@@ -1,4 +1,4 @@
-// Regions as callers meet them: the dispatcher with the real rule.
+// Tests of the dispatcher with the region rule.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -13,10 +13,10 @@
 
 constexpr common::Instant kStart{10'000'000};
 constexpr common::Duration kMillisecond{1'000};
-constexpr SessionNumber kCaller = 1;
+constexpr SessionNumber kSession = 1;
 
-/// One daemon before a primary "p" in "north" and a replica "r" in "south", with a caller of
-/// the tenant "baker".
+/// A daemon with a primary "p" in region "north" and a replica "r" in "south", and a session of the
+/// tenant "baker".
 struct RegionsFixture {
   RegionsFixture() {
     settings.mechanisms.read_lease = false;
@@ -49,7 +49,7 @@
     GroupState& group = groups.Get("ledger", kStart);
     group.lease.Renew({1, "p", kStart});
     group.history.Add({kStart, {1, 1}});
-    dispatcher.SessionStarted(kCaller, "orders", tenants::digest_of("key"), kStart);
+    dispatcher.SessionStarted(kSession, "orders", tenants::digest_of("key"), kStart);
     outbox.Take();
   }
 
@@ -59,7 +59,8 @@
     dispatcher.SetConfiguration(&configuration, kStart);
   }
 
-  void Limit(const std::vector<std::string>& of_route, const std::vector<std::string>& of_tenant) {
+  void LimitRegions(const std::vector<std::string>& of_route,
+                    const std::vector<std::string>& of_tenant) {
     ++configuration.version;
     configuration.routes["orders"].allowed_regions = of_route;
     configuration.tenants["baker"].allowed_regions = of_tenant;
@@ -67,26 +68,26 @@
   }
 
   template <typename Kind>
-  std::vector<Kind> Taken() {
-    std::vector<Kind> found;
+  std::vector<Kind> ConsumeActions() {
+    std::vector<Kind> matching;
     for (const Action& action : outbox.Take()) {
       if (const auto* kind = std::get_if<Kind>(&action)) {
-        found.push_back(*kind);
+        matching.push_back(*kind);
       }
     }
-    return found;
+    return matching;
   }
 
-  void Ask(model::CommandKind kind) {
+  void SendCommand(model::CommandKind kind) {
     model::Command command;
     command.kind = kind;
     command.arguments = "k";
-    dispatcher.CommandReceived(kCaller, {"r" + std::to_string(++requests), command}, kStart);
+    dispatcher.CommandReceived(kSession, {"r" + std::to_string(++requests), command}, kStart);
   }
 
-  /// Opens connections that were asked for.
-  /// @return the instance that the only request went to, empty if there was not exactly one.
-  std::string SentTo() {
+  /// Opens the requested connections.
+  /// @return the instance of the only request sent, empty if there was not exactly one.
+  std::string InstanceOfOnlyRequest() {
     std::vector<SendRequests> sent;
     for (auto actions = outbox.Take(); !actions.empty(); actions = outbox.Take()) {
       for (const Action& action : actions) {
@@ -102,11 +103,11 @@
     return sent.size() == 1 ? instances[connection] : "";
   }
 
-  /// Opens a transaction that reads at the primary.
+  /// Opens a transaction with a read at the primary.
   void OpenTransaction() {
-    Ask(model::CommandKind::kBegin);
-    Ask(model::CommandKind::kRead);
-    REQUIRE(SentTo() == "p");
+    SendCommand(model::CommandKind::kBegin);
+    SendCommand(model::CommandKind::kRead);
+    REQUIRE(InstanceOfOnlyRequest() == "p");
     model::Reply reply;
     reply.succeeded = true;
     reply.state = model::TransactionState::kOpen;
@@ -115,8 +116,8 @@
     outbox.Take();
   }
 
-  /// @return true if the transaction ends at its instance, and nothing else is sent.
-  bool RollsBack(const std::vector<Action>& actions) const {
+  /// @return true if the actions end the transaction at its instance and send nothing else.
+  bool EndsOnlyTransaction(const std::vector<Action>& actions) const {
     bool ends = false;
     for (const Action& action : actions) {
       if (const auto* closed = std::get_if<CloseConnection>(&action)) {
@@ -153,31 +154,31 @@
 
 TEST_CASE("A read goes to an instance in its tenant's region", "[proxy][regions]") {
   RegionsFixture fixture;
-  fixture.Limit({}, {"north"});
-  fixture.Ask(model::CommandKind::kRead);
-  CHECK(fixture.SentTo() == "p");
+  fixture.LimitRegions({}, {"north"});
+  fixture.SendCommand(model::CommandKind::kRead);
+  CHECK(fixture.InstanceOfOnlyRequest() == "p");
 }
 
-TEST_CASE("What a route's and a tenant's regions leave nothing for is refused at once",
+TEST_CASE("An operation is refused at once if its route and its tenant have no region in common",
           "[proxy][regions]") {
   RegionsFixture fixture;
-  fixture.Limit({"north"}, {"south"});
-  fixture.Ask(model::CommandKind::kRead);
+  fixture.LimitRegions({"north"}, {"south"});
+  fixture.SendCommand(model::CommandKind::kRead);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kBusy);
   CHECK(answers.front().reply.error_text == "retry_after_ms=1000 outside its regions");
   CHECK(fixture.dispatcher.Counters().blocked.at(regions::OUTSIDE_REGIONS) == 1);
 }
 
-TEST_CASE("A write of a tenant whose region the primary is not to lead in is refused at once",
+TEST_CASE("A write is refused at once if the primary is outside the tenant's regions",
           "[proxy][regions]") {
   RegionsFixture fixture;
-  fixture.Limit({}, {"south"});
-  fixture.Ask(model::CommandKind::kWrite);
+  fixture.LimitRegions({}, {"south"});
+  fixture.SendCommand(model::CommandKind::kWrite);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kBusy);
 }
@@ -185,23 +186,23 @@
 TEST_CASE("A write waits for a primary outside the route's region to be replaced",
           "[proxy][regions]") {
   RegionsFixture fixture;
-  fixture.Limit({"south"}, {});
-  fixture.Ask(model::CommandKind::kWrite);
+  fixture.LimitRegions({"south"}, {});
+  fixture.SendCommand(model::CommandKind::kWrite);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.Taken<AnswerCaller>().empty());
-  CHECK(fixture.Taken<SendRequests>().empty());
+  CHECK(fixture.ConsumeActions<AnswerCaller>().empty());
+  CHECK(fixture.ConsumeActions<SendRequests>().empty());
 }
 
-TEST_CASE("A tenant's regions that shrink while a transaction is open end it at its next statement",
+TEST_CASE("A transaction ends at its next statement if it is now outside its tenant's regions",
           "[proxy][regions]") {
   RegionsFixture fixture;
   fixture.OpenTransaction();
-  fixture.Limit({}, {"south"});
-  fixture.Ask(model::CommandKind::kRead);
-  CHECK(fixture.Taken<SendRequests>().empty());
+  fixture.LimitRegions({}, {"south"});
+  fixture.SendCommand(model::CommandKind::kRead);
+  CHECK(fixture.ConsumeActions<SendRequests>().empty());
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const std::vector<Action> actions = fixture.outbox.Take();
-  CHECK(fixture.RollsBack(actions));
+  CHECK(fixture.EndsOnlyTransaction(actions));
   const auto answer = std::find_if(actions.begin(), actions.end(), [](const Action& action) {
     return std::holds_alternative<AnswerCaller>(action);
   });
@@ -209,21 +210,22 @@
   CHECK(std::get<AnswerCaller>(*answer).reply.error == model::ErrorCode::kAborted);
 }
 
-TEST_CASE("A route's regions that shrink while a transaction rests roll it back",
+TEST_CASE("An idle transaction is rolled back if it is now outside its route's regions",
           "[proxy][regions]") {
   RegionsFixture fixture;
   fixture.OpenTransaction();
-  fixture.Limit({"south"}, {});
+  fixture.LimitRegions({"south"}, {});
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.RollsBack(fixture.outbox.Take()));
+  CHECK(fixture.EndsOnlyTransaction(fixture.outbox.Take()));
 }
 
-TEST_CASE("A transaction goes on where the new regions still let it", "[proxy][regions]") {
+TEST_CASE("A transaction continues if the new regions still include its instance",
+          "[proxy][regions]") {
   RegionsFixture fixture;
   fixture.OpenTransaction();
-  fixture.Limit({"north", "south"}, {"north"});
-  fixture.Ask(model::CommandKind::kRead);
-  CHECK(fixture.SentTo() == "p");
+  fixture.LimitRegions({"north", "south"}, {"north"});
+  fixture.SendCommand(model::CommandKind::kRead);
+  CHECK(fixture.InstanceOfOnlyRequest() == "p");
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/dispatcher_tenants_test.cc
+++ b/tests/proxy/dispatcher_tenants_test.cc
@@ -1,4 +1,4 @@
-// Callers' keys, the tenants that instance connections belong to, and what is turned away.
+// Tests of the dispatcher with tenants: callers' keys, tenants of connections, rejected operations.
 
 #include <catch2/catch.hpp>
 #include <vector>
@@ -10,9 +10,9 @@
 
 constexpr common::Instant kStart{10'000'000};
 constexpr common::Duration kMillisecond{1'000};
-constexpr common::Duration kLimit{5'000'000};
-constexpr SessionNumber kNorth = 1;
-constexpr SessionNumber kSouth = 2;
+constexpr common::Duration kRevocationLimit{5'000'000};
+constexpr SessionNumber kNorthSession = 1;
+constexpr SessionNumber kSouthSession = 2;
 const tenants::key_digest kNorthKey = tenants::digest_of("north-key");
 const tenants::key_digest kSouthKey = tenants::digest_of("south-key");
 
@@ -49,12 +49,12 @@
 ProxySettings StrictSettings() {
   ProxySettings settings;
   settings.tenants.keys_required = true;
-  settings.tenants.revocation_limit = kLimit;
+  settings.tenants.revocation_limit = kRevocationLimit;
   settings.mechanisms.read_lease = false;
   return settings;
 }
 
-/// One daemon before one instance that takes `connections` of it.
+/// A daemon with one instance and a limit of `connections`.
 struct DispatcherFixture {
   explicit DispatcherFixture(std::size_t connections = 10) {
     backends.SetObserver(&dispatcher);
@@ -78,17 +78,17 @@
   }
 
   template <typename Kind>
-  std::vector<Kind> Taken() {
-    std::vector<Kind> found;
+  std::vector<Kind> ConsumeActions() {
+    std::vector<Kind> matching;
     for (const Action& action : outbox.Take()) {
       if (const auto* kind = std::get_if<Kind>(&action)) {
-        found.push_back(*kind);
+        matching.push_back(*kind);
       }
     }
-    return found;
+    return matching;
   }
 
-  void Ask(SessionNumber session, model::CommandKind kind, common::Instant now) {
+  void SendCommand(SessionNumber session, model::CommandKind kind, common::Instant now) {
     model::Command command;
     command.kind = kind;
     command.arguments = "k";
@@ -96,8 +96,8 @@
   }
 
   /// @return the error of the only answer, nothing if it succeeded or there was none.
-  std::optional<model::ErrorCode> ErrorAnswered() {
-    const auto answers = Taken<AnswerCaller>();
+  std::optional<model::ErrorCode> ErrorOfOnlyAnswer() {
+    const auto answers = ConsumeActions<AnswerCaller>();
     if (answers.size() != 1 || answers.front().reply.succeeded) {
       return std::nullopt;
     }
@@ -118,35 +118,35 @@
 
 }  // namespace
 
-TEST_CASE("A caller without a known key is denied at the start", "[proxy][tenants]") {
+TEST_CASE("A session without a known key is denied at its start", "[proxy][tenants]") {
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", tenants::digest_of("guess"), kStart);
-  const auto closed = fixture.Taken<CloseSession>();
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", tenants::digest_of("guess"), kStart);
+  const auto closed = fixture.ConsumeActions<CloseSession>();
   REQUIRE(closed.size() == 1);
   CHECK(closed.front().error == model::ErrorCode::kDenied);
-  fixture.dispatcher.SessionStarted(kNorth, "open", tenants::digest_of("guess"), kStart);
-  CHECK(fixture.Taken<AcceptSession>().size() == 1);
-  fixture.dispatcher.SessionStarted(kSouth, "orders", kSouthKey, kStart);
-  CHECK(fixture.Taken<AcceptSession>().size() == 1);
+  fixture.dispatcher.SessionStarted(kNorthSession, "open", tenants::digest_of("guess"), kStart);
+  CHECK(fixture.ConsumeActions<AcceptSession>().size() == 1);
+  fixture.dispatcher.SessionStarted(kSouthSession, "orders", kSouthKey, kStart);
+  CHECK(fixture.ConsumeActions<AcceptSession>().size() == 1);
 }
 
-TEST_CASE("A key taken away is denied at the next operation", "[proxy][tenants]") {
+TEST_CASE("A revoked key is denied at the next operation", "[proxy][tenants]") {
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
   fixture.configuration.version = 2;
   fixture.configuration.tenants.erase("north");
   fixture.Configure(kStart);
-  fixture.Taken<AnswerCaller>();
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
-  CHECK(fixture.ErrorAnswered() == model::ErrorCode::kDenied);
+  fixture.ConsumeActions<AnswerCaller>();
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
+  CHECK(fixture.ErrorOfOnlyAnswer() == model::ErrorCode::kDenied);
 }
 
-TEST_CASE("A key taken away rolls its transaction back", "[proxy][tenants]") {
+TEST_CASE("The transaction of a revoked key is rolled back", "[proxy][tenants]") {
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
-  fixture.Ask(kNorth, model::CommandKind::kBegin, kStart);
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
-  const auto opened = fixture.Taken<OpenConnection>();
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
+  fixture.SendCommand(kNorthSession, model::CommandKind::kBegin, kStart);
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
+  const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
   fixture.backends.Opened(opened.front().connection, kStart);
   model::Reply reply;
@@ -158,7 +158,7 @@
   fixture.configuration.tenants.erase("north");
   fixture.Configure(kStart);
   fixture.outbox.Take();
-  fixture.Ask(kNorth, model::CommandKind::kCommit, kStart);
+  fixture.SendCommand(kNorthSession, model::CommandKind::kCommit, kStart);
   const std::vector<Action> actions = fixture.outbox.Take();
   bool rolled_back = false;
   std::optional<model::Reply> answer;
@@ -166,8 +166,8 @@
     if (const auto* sent = std::get_if<SendRequests>(&action)) {
       const auto& request = std::get<model::SessionRequest>(sent->requests.front());
       rolled_back = request.command.kind == model::CommandKind::kRollback;
-    } else if (const auto* told = std::get_if<AnswerCaller>(&action)) {
-      answer = told->reply;
+    } else if (const auto* answered = std::get_if<AnswerCaller>(&action)) {
+      answer = answered->reply;
     }
   }
   CHECK(rolled_back);
@@ -178,36 +178,37 @@
 
 TEST_CASE("A connection of one tenant never serves another", "[proxy][tenants]") {
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
-  fixture.dispatcher.SessionStarted(kSouth, "orders", kSouthKey, kStart);
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
+  fixture.dispatcher.SessionStarted(kSouthSession, "orders", kSouthKey, kStart);
   fixture.outbox.Take();
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
-  const auto opened = fixture.Taken<OpenConnection>();
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
+  const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
   CHECK(opened.front().tenant == "north");
-  // South comes while the connection opens, and needs one of its own.
-  fixture.Ask(kSouth, model::CommandKind::kRead, kStart);
-  const auto of_south = fixture.Taken<OpenConnection>();
+  // South sends its command while that connection opens, and needs a connection of its own.
+  fixture.SendCommand(kSouthSession, model::CommandKind::kRead, kStart);
+  const auto of_south = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(of_south.size() == 1);
   CHECK(of_south.front().tenant == "south");
   fixture.backends.Opened(of_south.front().connection, kStart);
-  const auto sent = fixture.Taken<SendRequests>();
+  const auto sent = fixture.ConsumeActions<SendRequests>();
   REQUIRE(sent.size() == 1);
   CHECK(sent.front().connection == of_south.front().connection);
 }
 
-TEST_CASE("At the limit a free connection of another tenant makes room", "[proxy][tenants]") {
+TEST_CASE("At the connection limit a free connection of another tenant is replaced",
+          "[proxy][tenants]") {
   DispatcherFixture fixture(1);
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
-  fixture.dispatcher.SessionStarted(kSouth, "orders", kSouthKey, kStart);
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
+  fixture.dispatcher.SessionStarted(kSouthSession, "orders", kSouthKey, kStart);
   fixture.outbox.Take();
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
-  const auto opened = fixture.Taken<OpenConnection>();
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
+  const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
   fixture.backends.Opened(opened.front().connection, kStart);
-  // While it is at work nothing makes room.
-  fixture.Ask(kSouth, model::CommandKind::kRead, kStart);
-  CHECK(fixture.Taken<OpenConnection>().empty());
+  // A busy connection is not replaced.
+  fixture.SendCommand(kSouthSession, model::CommandKind::kRead, kStart);
+  CHECK(fixture.ConsumeActions<OpenConnection>().empty());
   model::Reply reply;
   reply.succeeded = true;
   fixture.backends.Answered(opened.front().connection, reply, kStart);
@@ -224,61 +225,61 @@
   CHECK(of_south == 1);
 }
 
-TEST_CASE("One connection is opened for one operation", "[proxy][tenants]") {
+TEST_CASE("Only one connection is opened for one operation", "[proxy][tenants]") {
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
   fixture.outbox.Take();
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
-  CHECK(fixture.Taken<OpenConnection>().size() == 1);
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
+  CHECK(fixture.ConsumeActions<OpenConnection>().size() == 1);
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.Taken<OpenConnection>().empty());
+  CHECK(fixture.ConsumeActions<OpenConnection>().empty());
 }
 
-TEST_CASE("Without proof an operation is refused at once with a time to come back",
+TEST_CASE("An operation without proof that its key is in force is refused with a retry-after time",
           "[proxy][tenants]") {
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
   fixture.outbox.Take();
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart + kLimit);
-  const auto answers = fixture.Taken<AnswerCaller>();
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart + kRevocationLimit);
+  const auto answers = fixture.ConsumeActions<AnswerCaller>();
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kBusy);
   CHECK(answers.front().reply.error_text.find("retry_after_ms=") == 0);
-  fixture.admission.proof().note({1, kStart + kLimit});
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart + kLimit);
-  CHECK(fixture.Taken<OpenConnection>().size() == 1);
+  fixture.admission.proof().note({1, kStart + kRevocationLimit});
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart + kRevocationLimit);
+  CHECK(fixture.ConsumeActions<OpenConnection>().size() == 1);
 }
 
-TEST_CASE("An operation that waits while its key is taken away does not run", "[proxy][tenants]") {
+TEST_CASE("A queued operation whose key is revoked does not run", "[proxy][tenants]") {
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
   fixture.outbox.Take();
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
-  const auto opened = fixture.Taken<OpenConnection>();
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
+  const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
   fixture.configuration.version = 2;
   fixture.configuration.tenants.erase("north");
   fixture.Configure(kStart);
   fixture.backends.Opened(opened.front().connection, kStart);
-  CHECK(fixture.Taken<SendRequests>().empty());
+  CHECK(fixture.ConsumeActions<SendRequests>().empty());
   fixture.dispatcher.Tick(kStart + kMillisecond);
-  CHECK(fixture.ErrorAnswered() == model::ErrorCode::kDenied);
+  CHECK(fixture.ErrorOfOnlyAnswer() == model::ErrorCode::kDenied);
 }
 
-TEST_CASE("A connection whose BEGIN was refused for the last time is free again", "[proxy]") {
+TEST_CASE("A connection is free again after its BEGIN was refused at the last attempt", "[proxy]") {
   constexpr int kMostAnswers = 40;  // an operation is tried 30 times
   DispatcherFixture fixture;
-  fixture.dispatcher.SessionStarted(kNorth, "orders", kNorthKey, kStart);
-  fixture.Ask(kNorth, model::CommandKind::kBegin, kStart);
-  fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
-  const auto opened = fixture.Taken<OpenConnection>();
+  fixture.dispatcher.SessionStarted(kNorthSession, "orders", kNorthKey, kStart);
+  fixture.SendCommand(kNorthSession, model::CommandKind::kBegin, kStart);
+  fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
+  const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
   const ConnectionNumber number = opened.front().connection;
   fixture.backends.Opened(number, kStart);
   model::Reply lagging;
   lagging.error = model::ErrorCode::kLagging;
   int answered = 0;
-  for (; answered < kMostAnswers && fixture.Taken<AnswerCaller>().empty(); ++answered) {
+  for (; answered < kMostAnswers && fixture.ConsumeActions<AnswerCaller>().empty(); ++answered) {
     fixture.backends.Answered(number, lagging, kStart);
   }
   REQUIRE(answered < kMostAnswers);
--- a/tests/proxy/dispatcher_waiting_test.cc
+++ b/tests/proxy/dispatcher_waiting_test.cc
@@ -1,5 +1,4 @@
-// What the decisions on waiting mean for callers: who starts next, who is refused before its hold
-// time is over, and when it is told to come back.
+// Tests of the dispatcher's queues: order of starts, early refusals and retry-after times.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -16,11 +15,11 @@
 constexpr common::Instant kStart{10'000'000};
 constexpr common::Duration kMillisecond{1'000};
 constexpr common::Duration kAnswerTime = 2 * kTick;
-constexpr common::Duration kTargetLatency{400'000};  // a quarter of it is the hold time
+constexpr common::Duration kTargetLatency{400'000};  // operations are queued for a quarter of it
 const tenants::key_digest kLargeKey = tenants::digest_of("large-key");
 const tenants::key_digest kSmallKey = tenants::digest_of("small-key");
 
-/// One daemon with one connection to one instance, which is a connection of the large tenant's.
+/// A daemon with one connection to one instance; the connection is the large tenant's.
 struct WaitingFixture {
   explicit WaitingFixture(bool early_refusal = true) {
     settings.early_refusal = early_refusal;
@@ -47,33 +46,33 @@
     admission.set_configuration(1, configuration.tenants);
     dispatcher.SetConfiguration(&configuration, kStart);
     REQUIRE(backends.OpenFor("large", *backends.Find("i-1"), kStart));
-    NoteActions();
+    ProcessActions();
   }
 
-  /// A new session asks. @return its number.
-  SessionNumber Ask(const tenants::key_digest& key,
-                    model::CommandKind kind = model::CommandKind::kRead) {
+  /// Sends a command in a new session. @return the session's number.
+  SessionNumber SendInNewSession(const tenants::key_digest& key,
+                                 model::CommandKind kind = model::CommandKind::kRead) {
     const SessionNumber session = ++sessions;
     dispatcher.SessionStarted(session, "orders", key, now);
     model::Command command;
     command.kind = kind;
     command.arguments = "k";
     dispatcher.CommandReceived(session, {std::to_string(session), command}, now);
-    NoteActions();
+    ProcessActions();
     return session;
   }
 
-  /// A session asks once more.
-  void AskAgain(SessionNumber session) {
+  /// Sends a read in an existing session.
+  void SendRead(SessionNumber session) {
     model::Command command;
     command.kind = model::CommandKind::kRead;
     command.arguments = "k";
     dispatcher.CommandReceived(session, {std::to_string(session), command}, now);
-    NoteActions();
+    ProcessActions();
   }
 
-  /// The statement at the instance is answered, if there is one.
-  void AnswerRunning() {
+  /// Answers the statement that runs at the instance, if there is one.
+  void AnswerRunningStatement() {
     if (running.empty()) {
       return;
     }
@@ -82,29 +81,29 @@
     const ConnectionNumber connection = *running.begin();
     running.erase(running.begin());
     backends.Answered(connection, reply, now);
-    NoteActions();
+    ProcessActions();
   }
 
   void Tick() {
     now += kTick;
     dispatcher.Tick(now);
-    NoteActions();
+    ProcessActions();
   }
 
-  /// A large tenant asks for four times what the instance can do.
+  /// The large tenant sends four times as many statements as the instance can run.
   void Overload(common::Duration time) {
     for (const common::Instant end = now + time; now < end;) {
       for (common::Duration passed{0}; passed < kAnswerTime; passed += kTick) {
-        Ask(kLargeKey);
-        Ask(kLargeKey);
+        SendInNewSession(kLargeKey);
+        SendInNewSession(kLargeKey);
         Tick();
       }
-      AnswerRunning();
+      AnswerRunningStatement();
     }
   }
 
-  /// Notes what was sent and refused; connections open at once.
-  void NoteActions() {
+  /// Records sent and refused requests; opens requested connections at once.
+  void ProcessActions() {
     for (const Action& action : outbox.Take()) {
       if (const auto* sent = std::get_if<SendRequests>(&action)) {
         running.insert(sent->connection);
@@ -125,11 +124,11 @@
     }
     for (const ConnectionNumber connection : std::exchange(opening, {})) {
       backends.Opened(connection, now);
-      NoteActions();
+      ProcessActions();
     }
   }
 
-  std::size_t RefusedWith(const std::string& reason) const {
+  std::size_t CountBusyRefusals(const std::string& reason) const {
     return static_cast<std::size_t>(
         std::count_if(refusals.begin(), refusals.end(), [&](const AnswerCaller& refusal) {
           return refusal.reply.error == model::ErrorCode::kBusy &&
@@ -157,31 +156,31 @@
 
 }  // namespace
 
-TEST_CASE("A small tenant's statement does not wait for a large one's backlog",
+TEST_CASE("A small tenant's statement does not wait for a large tenant's backlog",
           "[proxy][waiting]") {
   WaitingFixture fixture;
   for (int i = 0; i < 6; ++i) {
-    fixture.Ask(kLargeKey);
+    fixture.SendInNewSession(kLargeKey);
   }
-  const SessionNumber small = fixture.Ask(kSmallKey);
-  fixture.AnswerRunning();
-  fixture.AnswerRunning();
+  const SessionNumber small = fixture.SendInNewSession(kSmallKey);
+  fixture.AnswerRunningStatement();
+  fixture.AnswerRunningStatement();
   REQUIRE(fixture.started.size() == 3);
   CHECK(fixture.started.back() == small);
 }
 
-TEST_CASE("What stands too far back is refused at the next tick", "[proxy][waiting]") {
+TEST_CASE("Operations too far back in the queue are refused at the next tick", "[proxy][waiting]") {
   WaitingFixture fixture;
   fixture.Overload(std::chrono::seconds(1));
   fixture.refusals.clear();
   const std::uint64_t before = fixture.dispatcher.Counters().refused_early;
   for (int i = 0; i < 30; ++i) {
-    fixture.Ask(kLargeKey);
+    fixture.SendInNewSession(kLargeKey);
   }
   fixture.Tick();
-  CHECK(fixture.RefusedWith(" refused early: no free connection") >= 20);
+  CHECK(fixture.CountBusyRefusals(" refused early: no free connection") >= 20);
   CHECK(fixture.dispatcher.Counters().refused_early - before ==
-        fixture.RefusedWith("refused early"));
+        fixture.CountBusyRefusals("refused early"));
   const auto& fields = fixture.failures.back().fields;
   const auto forecast = std::find_if(fields.begin(), fields.end(), [](const auto& field) {
     return std::string(field.first) == "forecast_ms";
@@ -190,11 +189,11 @@
   CHECK(std::stol(forecast->second) > 100);
 }
 
-TEST_CASE("Without early refusal a statement is held to the end", "[proxy][waiting]") {
+TEST_CASE("Without early refusal a statement is queued until its deadline", "[proxy][waiting]") {
   WaitingFixture fixture(false);
   fixture.Overload(std::chrono::seconds(1));
   fixture.refusals.clear();
-  const SessionNumber last = fixture.Ask(kLargeKey);
+  const SessionNumber last = fixture.SendInNewSession(kLargeKey);
   const common::Instant end = fixture.now + kTargetLatency / 4;
   while (fixture.now + kTick < end) {
     fixture.Tick();
@@ -207,10 +206,10 @@
   CHECK(fixture.dispatcher.Counters().refused_at_queue_deadline.contains("no free connection"));
 }
 
-TEST_CASE("An overloaded instance keeps its place in the queue filled", "[proxy][waiting]") {
+TEST_CASE("Early refusal leaves no idle time to an overloaded instance", "[proxy][waiting]") {
   WaitingFixture fixture;
   fixture.Overload(std::chrono::seconds(2));
-  // Nothing is lost by refusing: one statement ran after the other all the time.
+  // Refusals cost no throughput: the instance ran one statement after the other without a pause.
   const auto possible = static_cast<std::size_t>(std::chrono::seconds(2) / kAnswerTime);
   CHECK(fixture.started.size() >= possible);
 }
@@ -221,17 +220,18 @@
   fixture.groups.Get("ledger", fixture.now).lease.Renew({2, "", fixture.now});
   fixture.refusals.clear();
   for (int i = 0; i < 30; ++i) {
-    fixture.Ask(kLargeKey, model::CommandKind::kWrite);
+    fixture.SendInNewSession(kLargeKey, model::CommandKind::kWrite);
   }
   fixture.Tick();
   fixture.Tick();
-  CHECK(fixture.RefusedWith("refused early") == 0);
+  CHECK(fixture.CountBusyRefusals("refused early") == 0);
 }
 
-TEST_CASE("Callers held in vain are told different times to come back", "[proxy][waiting]") {
+TEST_CASE("Callers refused at their queue deadline get different retry-after times",
+          "[proxy][waiting]") {
   WaitingFixture fixture;
   for (int i = 0; i < 3; ++i) {
-    fixture.Ask(kLargeKey);
+    fixture.SendInNewSession(kLargeKey);
   }
   const common::Instant end = fixture.now + kTargetLatency / 4;
   while (fixture.now < end) {
@@ -241,7 +241,7 @@
   CHECK(fixture.refusals.front().reply.error_text != fixture.refusals.back().reply.error_text);
 }
 
-TEST_CASE("A caller that was refused before is told to come back later", "[proxy][waiting]") {
+TEST_CASE("A caller that was refused before gets a longer retry-after time", "[proxy][waiting]") {
   WaitingFixture fixture;
   const auto pause_of = [&](SessionNumber session) {
     const auto refusal =
@@ -256,11 +256,11 @@
   CHECK(pause_of(first) < waiting::LATE_COME_BACK);
   fixture.Overload(kTargetLatency / 2);
   for (int i = 0; i < 5; ++i) {
-    fixture.Ask(kLargeKey);
+    fixture.SendInNewSession(kLargeKey);
   }
-  fixture.now += kMillisecond;  // behind those
-  fixture.AskAgain(first);
-  const SessionNumber other = fixture.Ask(kLargeKey);
+  fixture.now += kMillisecond;  // queued behind these
+  fixture.SendRead(first);
+  const SessionNumber other = fixture.SendInNewSession(kLargeKey);
   fixture.Overload(kTargetLatency / 2);
   CHECK(pause_of(first) >= waiting::LATE_COME_BACK);
   CHECK(pause_of(other) < waiting::LATE_COME_BACK);
@@ -272,26 +272,27 @@
   const SessionNumber sent = fixture.started.back();
   const std::uint64_t before = fixture.dispatcher.Counters().resent_reads;
   while (fixture.dispatcher.Counters().resent_reads == before) {
-    fixture.Ask(kLargeKey);
-    fixture.Ask(kLargeKey);
+    fixture.SendInNewSession(kLargeKey);
+    fixture.SendInNewSession(kLargeKey);
     fixture.Tick();
   }
   for (int i = 0; i < 5; ++i) {
     fixture.Tick();
   }
   const auto of_sent = [&](const AnswerCaller& refusal) { return refusal.session == sent; };
-  CHECK(fixture.RefusedWith("refused early") > 0);
+  CHECK(fixture.CountBusyRefusals("refused early") > 0);
   CHECK(std::none_of(fixture.refusals.begin(), fixture.refusals.end(), of_sent));
 }
 
-TEST_CASE("The load is told to who observes it", "[proxy][waiting]") {
+TEST_CASE("The load is reported to the load observer", "[proxy][waiting]") {
   WaitingFixture fixture;
   waiting::trace_recorder recorder;
   fixture.dispatcher.SetLoadObserver(&recorder);
-  fixture.Ask(kLargeKey);
-  const SessionNumber in_transaction = fixture.Ask(kSmallKey, model::CommandKind::kBegin);
+  fixture.SendInNewSession(kLargeKey);
+  const SessionNumber in_transaction =
+      fixture.SendInNewSession(kSmallKey, model::CommandKind::kBegin);
   fixture.Tick();
-  fixture.AnswerRunning();
+  fixture.AnswerRunningStatement();
   fixture.dispatcher.SessionClosed(in_transaction, fixture.now);
   const auto parsed = waiting::parse_trace(recorder.text());
   REQUIRE(common::IsOk(parsed));
