--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -69,7 +69,7 @@
                       const tenants::key_digest& key, common::Instant now);
   /// Runs a command, or queues it behind the session's command in progress.
   void CommandReceived(SessionNumber number, const CallerCommand& command, common::Instant now);
-  /// Removes a session that has ended; an open transaction is rolled back.
+  /// Removes a session that has ended, and ends its open transaction.
   void SessionClosed(SessionNumber number, common::Instant now);
 
   void OnAnswer(Backend& backend, Connection& connection, const Outstanding& outstanding,
