--- a/src/proxy/dispatcher_tenants.cc
+++ b/src/proxy/dispatcher_tenants.cc
@@ -1,4 +1,5 @@
-// For whom operations run, and which are turned away for their key or their tenant's limit.
+// Determines the tenant of sessions and operations; rejects unknown keys and tenants over their
+// limit.
 
 #include <utility>
 
@@ -7,13 +8,13 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// What a caller is told of a refusal.
+/// The error answered to a caller that is refused.
 struct Refusal {
   model::ErrorCode code = model::ErrorCode::kBusy;
   std::string text;
 };
 
-std::string ComeBackAfter(common::Duration pause) {
+std::string RetryAfterText(common::Duration pause) {
   return "retry_after_ms=" + Milliseconds(pause);
 }
 
@@ -23,10 +24,10 @@
       return {model::ErrorCode::kDenied, "unknown key"};
     case tenants::verdict::unproven:
       return {model::ErrorCode::kBusy,
-              ComeBackAfter(result.come_back) + " keys cannot be checked now"};
+              RetryAfterText(result.come_back) + " keys cannot be checked now"};
     case tenants::verdict::over_limit:
       return {model::ErrorCode::kBusy,
-              ComeBackAfter(result.come_back) + " the tenant's rate is used up"};
+              RetryAfterText(result.come_back) + " the tenant's rate is used up"};
     case tenants::verdict::admitted:
       break;
   }
@@ -49,13 +50,14 @@
 
 }  // namespace
 
-tenants::admission_result Dispatcher::Identify(const Session& session, const model::Route& route,
-                                               common::Instant now) const {
+tenants::admission_result Dispatcher::IdentifyTenant(const Session& session,
+                                                     const model::Route& route,
+                                                     common::Instant now) const {
   return admission_.identify(route.is_public, session.key, now);
 }
 
-void Dispatcher::LogTurnedAway(const std::string& request, const model::Route& route,
-                               const tenants::admission_result& result) {
+void Dispatcher::LogRejection(const std::string& request, const model::Route& route,
+                              const tenants::admission_result& result) {
   admission_.note_refused(result.outcome);
   outbox_.Log("request_turned_away",
               {{"request", request},
@@ -70,11 +72,11 @@
 
 bool Dispatcher::AcceptsCaller(const Session& session, const model::Route& route,
                                common::Instant now) {
-  const tenants::admission_result result = Identify(session, route, now);
+  const tenants::admission_result result = IdentifyTenant(session, route, now);
   if (result.outcome == tenants::verdict::admitted) {
     return true;
   }
-  LogTurnedAway("", route, result);
+  LogRejection("", route, result);
   const Refusal refusal = RefusalOf(result);
   outbox_.Emit(CloseSession{session.number, true, refusal.code, refusal.text});
   return false;
@@ -88,22 +90,22 @@
   if (result.outcome == tenants::verdict::admitted) {
     return std::move(result.tenant);
   }
-  LogTurnedAway(command.request_id, route, result);
+  LogRejection(command.request_id, route, result);
   const Refusal refusal = RefusalOf(result);
   AnswerError(session, refusal.code, refusal.text);
   return std::nullopt;
 }
 
-bool Dispatcher::ContinuesForTenant(Session& session, const CallerCommand& command,
-                                    common::Instant now) {
+bool Dispatcher::CheckTransactionTenant(Session& session, const CallerCommand& command,
+                                        common::Instant now) {
   const Transaction& transaction = session.transaction;
-  const tenants::admission_result result = Identify(session, transaction.route, now);
+  const tenants::admission_result result = IdentifyTenant(session, transaction.route, now);
   const bool admitted = result.outcome == tenants::verdict::admitted;
   if (admitted && result.tenant == transaction.tenant) {
     return true;
   }
-  LogTurnedAway(command.request_id, transaction.route, result);
-  // Nothing of the transaction is kept: its connection is rolled back before the answer.
+  LogRejection(command.request_id, transaction.route, result);
+  // Nothing of the transaction is kept: ROLLBACK is sent before the caller is answered.
   FailTransaction(session, now);
   const bool commits = command.command.kind == model::CommandKind::kCommit;
   if (commits) {
@@ -118,9 +120,9 @@
   return false;
 }
 
-bool Dispatcher::StillAdmitted(const Session& session, const tenants::admission_result& found) {
-  const bool same = !session.transaction.open || found.tenant == session.transaction.tenant;
-  return found.outcome == tenants::verdict::admitted && same;
+bool Dispatcher::StillAdmitted(const Session& session, const tenants::admission_result& current) {
+  const bool same = !session.transaction.open || current.tenant == session.transaction.tenant;
+  return current.outcome == tenants::verdict::admitted && same;
 }
 
 void Dispatcher::FailTransaction(Session& session, common::Instant now) {
@@ -133,7 +135,7 @@
   Connection* connection = backend == nullptr ? nullptr : backend->Find(*transaction.connection);
   transaction.connection.reset();
   if (connection != nullptr) {
-    LeaveConnection(transaction, *backend, *connection, now);
+    ReleaseOrCloseConnection(transaction, *backend, *connection, now);
   }
 }
 
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -1,4 +1,4 @@
-// What time brings about: refusals, time-outs, repeated reads, ended transactions.
+// Time-dependent work of the dispatcher: time-outs, resent reads, ended transactions and sessions.
 
 #include <algorithm>
 #include <utility>
@@ -9,95 +9,102 @@
 namespace valvekeel::proxy {
 namespace {
 
-constexpr common::Duration kStartLimit{1'500'000};  // for a session before the first configuration
-constexpr common::Duration kShortestResend{
-    100'000};  // without an answer, before a read goes out again
-constexpr std::uint32_t kMostResends = 3;
-constexpr double kUsualLatencies = 4;  // latencies of the instance that are waited at least
-constexpr common::Duration kIdleSlack{200'000};
-/// Time for the daemon that handed a session over to end it when asked to. A link whose bytes stay
-/// unacknowledged ends after the same time.
-constexpr common::Duration kGoodbyeTime{2'000'000};
-constexpr const char* kComeBack = "retry_after_ms=250 ";
-constexpr const char* kStops = "the daemon stops";
+/// Time for which a session waits for the first configuration.
+constexpr common::Duration kConfigurationWaitLimit{1'500'000};
+/// Least time without an answer after which a read is sent again.
+constexpr common::Duration kMinResendDelay{100'000};
+constexpr std::uint32_t kMaxResends = 3;
+/// A read is not sent again before this multiple of the instance's latency.
+constexpr double kResendLatencyFactor = 4;
+/// Added to the configured idle time of transactions.
+constexpr common::Duration kIdleTimeoutSlack{200'000};
+/// Time for the daemon that handed a session over to end it after an end request. A link whose
+/// bytes stay unacknowledged ends after the same time.
+constexpr common::Duration kEndRequestTimeout{2'000'000};
+constexpr const char* kRetryAfter = "retry_after_ms=250 ";
+constexpr const char* kDaemonStops = "the daemon stops";
 
-/// @return true if the caller was just told that it may begin.
-bool AwaitsFirst(const CallerSession& session, common::Instant now) {
-  return !session.has_spoken && now < session.started + relay::FIRST_COMMAND_TIME;
+/// @return true if the session was accepted so recently that its first command may be on its way.
+bool AwaitsFirstCommand(const CallerSession& session, common::Instant now) {
+  return !session.received_command && now < session.started + relay::FIRST_COMMAND_TIME;
 }
 
 }  // namespace
 
-bool Dispatcher::ResendDue(const Session& session, const Backend& backend,
-                           common::Instant now) const {
+bool Dispatcher::IsResendDue(const Session& session, const Backend& backend,
+                             common::Instant now) const {
   const Operation& operation = *session.operation;
   const bool reads = !IsWrite(session) || !settings_.mechanisms.unknown_outcomes;
   const bool single_read = !session.transaction.open && reads;
-  const bool first_of_transaction = session.transaction.open && !session.transaction.ran &&
-                                    operation.caller.command.kind != model::CommandKind::kCommit;
-  if ((!single_read && !first_of_transaction) || operation.resends >= kMostResends) {
+  const bool first_in_transaction =
+      session.transaction.open && !session.transaction.has_run_statement &&
+      operation.caller_command.command.kind != model::CommandKind::kCommit;
+  if ((!single_read && !first_in_transaction) || operation.resends >= kMaxResends) {
     return false;
   }
   if (backend.Unreachable()) {
     return true;
   }
-  // An instance that is slow for all has not lost the answer.
-  const common::Duration usual(static_cast<std::int64_t>(kUsualLatencies * backend.LatencyUs()));
-  const common::Duration patience =
-      std::max({kShortestResend, operation.route.target_latency / 2, usual});
-  return now >= operation.sent + patience;
+  // An instance that is slow for all requests has not lost the answer to this one.
+  const common::Duration usual_wait(
+      static_cast<std::int64_t>(kResendLatencyFactor * backend.LatencyUs()));
+  const common::Duration resend_delay =
+      std::max({kMinResendDelay, operation.route.target_latency / 2, usual_wait});
+  return now >= operation.sent + resend_delay;
 }
 
 void Dispatcher::CheckOperation(Session& session, common::Instant now) {
   Operation& operation = *session.operation;
-  if (operation.phase == OperationPhase::kWaiting) {
-    const tenants::admission_result found = Identify(session, operation.route, now);
-    if (!StillAdmitted(session, found)) {
-      LogTurnedAway(operation.caller.request_id, operation.route, found);
-      const bool unknown = found.outcome == tenants::verdict::unknown_key;
+  if (operation.phase == OperationPhase::kQueued) {
+    const tenants::admission_result current = IdentifyTenant(session, operation.route, now);
+    if (!StillAdmitted(session, current)) {
+      LogRejection(operation.caller_command.request_id, operation.route, current);
+      const bool unknown = current.outcome == tenants::verdict::unknown_key;
       FinishWithError(session, unknown ? model::ErrorCode::kDenied : model::ErrorCode::kAborted,
                       "the key is no longer in force", now);
       return;
     }
-    if (RefuseBarred(session, now)) {
+    if (RefuseBlocked(session, now)) {
       return;
     }
-    if (now >= std::min(operation.hold_until, operation.deadline)) {
-      RefuseHeld(session, now);
+    if (now >= std::min(operation.queue_deadline, operation.deadline)) {
+      RefuseAtQueueDeadline(session, now);
     }
     return;
   }
-  NoteBarredRunning(session, now);
+  RecordInstanceClosed(session, now);
   const Backend* backend = backends_.Find(operation.instance);
-  const bool resend = backend != nullptr && ResendDue(session, *backend, now);
+  const bool resend = backend != nullptr && IsResendDue(session, *backend, now);
   if (resend && now < operation.deadline) {
     ++counters_.resent_reads;
     ++operation.resends;
     admission_.limiter().note_resent(operation.tenant, now);
-    outbox_.Log("request_resent", {{"request", operation.caller.request_id},
+    outbox_.Log("request_resent", {{"request", operation.caller_command.request_id},
                                    {"instance", operation.instance},
                                    {"waited_ms", Milliseconds(now - operation.sent)},
                                    {"attempt", std::to_string(operation.attempts)}});
-    Abandon(session, now);
-    // A fresh measure of patience elsewhere, within the statement's time.
-    operation.hold_until = std::max(operation.hold_until, now + kShortestResend);
-    Wait(session, operation.instance, "no answer", common::Duration(0), now);
+    AbandonSentRequest(session, now);
+    // The operation may wait kMinResendDelay for another instance, within the statement's time-out.
+    operation.queue_deadline = std::max(operation.queue_deadline, now + kMinResendDelay);
+    Requeue(session, operation.instance, "no answer", common::Duration(0), now);
     return;
   }
-  const bool replaced = backend != nullptr && backend->Unreachable() && NeedsPrimary(session) &&
-                        groups_.UsablePrimary(operation.route.service, now) != operation.instance;
-  if (now < operation.deadline && !replaced) {
+  const bool primary_lost =
+      backend != nullptr && backend->Unreachable() && NeedsPrimary(session) &&
+      groups_.UsablePrimary(operation.route.service, now) != operation.instance;
+  if (now < operation.deadline && !primary_lost) {
     return;
   }
-  CutShort(session, replaced ? "the primary is lost" : "the statement's time is over", now);
+  FinishInterrupted(session, primary_lost ? "the primary is lost" : "the statement's time is over",
+                    now);
 }
 
-void Dispatcher::CutShort(Session& session, const char* reason, common::Instant now) {
-  const bool committed = MayHaveCommitted(session);
+void Dispatcher::FinishInterrupted(Session& session, const char* reason, common::Instant now) {
+  const bool may_have_committed = MayHaveCommitted(session);
   const bool in_transaction = session.transaction.open;
   const bool sent = session.operation->phase == OperationPhase::kRunning;
-  Abandon(session, now);
-  if (committed) {
+  AbandonSentRequest(session, now);
+  if (may_have_committed) {
     FinishWithError(session, model::ErrorCode::kInDoubt, reason, now);
   } else if (in_transaction) {
     FinishWithError(session, model::ErrorCode::kAborted, reason, now);
@@ -107,24 +114,24 @@
   }
 }
 
-void Dispatcher::CheckTransaction(Session& session, common::Instant now) {
+void Dispatcher::FailIdleTransaction(Session& session, common::Instant now) {
   Transaction& transaction = session.transaction;
   const common::Duration limit =
       configuration_ == nullptr ? common::Duration(0) : configuration_->transaction_idle;
-  const bool rests = !session.operation && transaction.connection && !transaction.failed;
-  if (!rests || limit == common::Duration(0) ||
-      now < transaction.last_active + limit + kIdleSlack) {
+  const bool idle = !session.operation && transaction.connection && !transaction.failed;
+  if (!idle || limit == common::Duration(0) ||
+      now < transaction.last_active + limit + kIdleTimeoutSlack) {
     return;
   }
-  outbox_.Log("transaction_ended", {{"request", transaction.begin_id},
+  outbox_.Log("transaction_ended", {{"request", transaction.begin_request_id},
                                     {"instance", transaction.instance},
                                     {"idle_ms", Milliseconds(now - transaction.last_active)}});
   FailTransaction(session, now);
 }
 
-void Dispatcher::NoteUnansweredWrites(common::Instant now) {
-  // Of 1,000 groups few have a write on its way: those of the last time alone can have one noted.
-  for (const std::string& service : std::exchange(unanswered_in_, {})) {
+void Dispatcher::RecordUnansweredWrites(common::Instant now) {
+  // Few of 1,000 groups have a write in flight: only those of the previous call need a reset.
+  for (const std::string& service : std::exchange(services_with_unanswered_write_, {})) {
     groups_.Get(service, now).write_sent.reset();
   }
   for (const auto& [number, session] : sessions_) {
@@ -135,7 +142,7 @@
     GroupState& group = groups_.Get(operation.route.service, now);
     const bool at_primary = operation.instance == group.lease.Newest().primary;
     if (at_primary && (!group.write_sent || operation.sent < *group.write_sent)) {
-      unanswered_in_.insert(operation.route.service);
+      services_with_unanswered_write_.insert(operation.route.service);
       group.write_sent = operation.sent;
     }
   }
@@ -149,14 +156,14 @@
     }
   }
   for (const SessionNumber number : numbers) {
-    Session* session = Find(number);
+    Session* session = FindSession(number);
     if (session == nullptr) {
       continue;
     }
     if (!session->accepted) {
-      if (now >= session->started + kStartLimit) {
+      if (now >= session->started + kConfigurationWaitLimit) {
         outbox_.Emit(CloseSession{number, true, model::ErrorCode::kBusy,
-                                  std::string(kComeBack) + "no configuration yet"});
+                                  std::string(kRetryAfter) + "no configuration yet"});
         SessionClosed(number, now);
       }
       continue;
@@ -164,14 +171,14 @@
     if (session->operation) {
       CheckOperation(*session, now);
     } else {
-      EndBarredTransaction(*session, now);
-      CheckTransaction(*session, now);
+      EndBlockedTransaction(*session, now);
+      FailIdleTransaction(*session, now);
     }
   }
-  NoteUnansweredWrites(now);
-  Pump(now);
-  RefuseHopeless(now);
-  ObserveCapacity(now);
+  RecordUnansweredWrites(now);
+  StartQueuedOperations(now);
+  RefuseEarly(now);
+  ReportCapacity(now);
 }
 
 std::set<std::string> Dispatcher::ServicesInUse() const {
@@ -184,45 +191,53 @@
   return services;
 }
 
-void Dispatcher::CloseResting(bool all, common::Instant now) {
-  // Ended by the next tick, a session that was just accepted loses its first command on the way.
-  const auto chosen = [&](const Session& session) { return all || !AwaitsFirst(session, now); };
-  EndSessions(chosen, all ? EndWhen::kAnswered : EndWhen::kResting, kStops, now);
+void Dispatcher::EndAllIdleSessions(bool include_transactions, common::Instant now) {
+  // A session that is ended just after it was accepted would lose a first command on its way.
+  const auto selected = [&](const Session& session) {
+    return include_transactions || !AwaitsFirstCommand(session, now);
+  };
+  EndSessions(
+      selected,
+      include_transactions ? SessionEndCondition::kBetweenCommands : SessionEndCondition::kIdle,
+      kDaemonStops, now);
 }
 
-void Dispatcher::EndOperation(Session& session, const char* reason, common::Instant now) {
+void Dispatcher::InterruptOperation(Session& session, const char* reason, common::Instant now) {
   session.end_reason = reason;
   const Operation& operation = *session.operation;
-  const bool waits = operation.phase == OperationPhase::kWaiting;
-  const bool begun = session.transaction.open && !waits;
-  if (begun || operation.phase == OperationPhase::kRunning) {
-    CutShort(session, reason, now);
+  const bool queued = operation.phase == OperationPhase::kQueued;
+  const bool transaction_begun = session.transaction.open && !queued;
+  if (transaction_begun || operation.phase == OperationPhase::kRunning) {
+    FinishInterrupted(session, reason, now);
     return;
   }
-  // A read, or the first statement of a transaction, may have been sent before without an answer.
-  const bool ran = operation.attempts > (waits ? 0U : 1U);
-  const std::string text = std::string(kComeBack) + (ran ? "" : "not run: ") + reason;
-  Abandon(session, now);
+  // A read, or the first statement of a transaction, may have run in an earlier attempt.
+  const bool may_have_run = operation.attempts > (queued ? 0U : 1U);
+  const std::string text = std::string(kRetryAfter) + (may_have_run ? "" : "not run: ") + reason;
+  AbandonSentRequest(session, now);
   FinishWithError(session, model::ErrorCode::kBusy, text, now);
 }
 
-void Dispatcher::EndAll(common::Instant now) {
-  ended_ = true;
-  EndSessions([](const Session&) { return true; }, EndWhen::kAtOnce, kStops, now);
+void Dispatcher::EndAllSessions(common::Instant now) {
+  stopped_ = true;
+  EndSessions([](const Session&) { return true; }, SessionEndCondition::kImmediately, kDaemonStops,
+              now);
 }
 
-void Dispatcher::EndResting(const std::string& service, bool handed_over, common::Instant now) {
+void Dispatcher::EndIdleSessionsOfService(const std::string& service, bool include_handed_over,
+                                          common::Instant now) {
   EndSessions(
       [&](const Session& session) {
         const model::Route* route = RouteOf(session);
-        const bool may_end = handed_over || session.takes_goodbye || !session.handed_over;
-        return may_end && !AwaitsFirst(session, now) && route != nullptr &&
+        const bool may_end =
+            include_handed_over || session.accepts_end_request || !session.handed_over;
+        return may_end && !AwaitsFirstCommand(session, now) && route != nullptr &&
                route->service == service;
       },
-      EndWhen::kResting, "owned by other daemons", now);
+      SessionEndCondition::kIdle, "owned by other daemons", now);
 }
 
-void Dispatcher::NoteEnding(const std::vector<SessionNumber>& ending, const char* reason) {
+void Dispatcher::LogEndingSessions(const std::vector<SessionNumber>& ending, const char* reason) {
   if (ending.empty()) {
     return;
   }
@@ -242,54 +257,60 @@
                                  {"unanswered", std::to_string(unanswered)}});
 }
 
-std::size_t Dispatcher::EndSessions(const std::function<bool(const CallerSession&)>& chosen,
-                                    EndWhen when, const char* reason, common::Instant now) {
-  std::size_t left = 0;
-  std::size_t asked = 0;
+std::size_t Dispatcher::EndSessions(const std::function<bool(const CallerSession&)>& selected,
+                                    SessionEndCondition condition, const char* reason,
+                                    common::Instant now) {
+  std::size_t remaining = 0;
+  std::size_t requested = 0;
   std::vector<SessionNumber> ending;
   for (auto& [number, session] : sessions_) {
-    if (!chosen(session)) {
+    if (!selected(session)) {
       continue;
     }
-    const bool to_be_asked = when == EndWhen::kResting && session.accepted && session.takes_goodbye;
-    if (to_be_asked && !session.asked_to_end) {
-      // What rests here may have its next command on the link: of 238 links that owners closed
-      // on a command in three days of planned stops, 209 did within 10 ms of it.
-      session.asked_to_end = now;
+    const bool ends_on_request =
+        condition == SessionEndCondition::kIdle && session.accepted && session.accepts_end_request;
+    if (ends_on_request && !session.end_requested_at) {
+      // The next command of an idle session may already be on the link, and would be lost if this
+      // daemon closed it: in planned stops, 209 of 238 links that owners closed on a command were
+      // closed within 10 ms of that command.
+      session.end_requested_at = now;
       outbox_.Emit(AskToEnd{number});
-      ++asked;
+      ++requested;
     }
-    if (to_be_asked && now < *session.asked_to_end + kGoodbyeTime) {
-      ++left;
+    if (ends_on_request && now < *session.end_requested_at + kEndRequestTimeout) {
+      ++remaining;
       continue;
     }
-    const bool answered = !session.operation;
-    const bool rests = answered && !session.transaction.open;
-    const bool may_end =
-        rests || when == EndWhen::kAtOnce || (answered && when == EndWhen::kAnswered);
-    if (may_end && when != EndWhen::kLater) {
+    const bool between_commands = !session.operation;
+    const bool idle = between_commands && !session.transaction.open;
+    const bool may_end = idle || condition == SessionEndCondition::kImmediately ||
+                         (between_commands && condition == SessionEndCondition::kBetweenCommands);
+    if (may_end && condition != SessionEndCondition::kNotYet) {
       ending.push_back(number);
     } else {
-      ++left;
+      ++remaining;
     }
   }
-  if (asked > 0) {
-    outbox_.Log("sessions_asked_to_end", {{"reason", reason}, {"sessions", std::to_string(asked)}});
+  if (requested > 0) {
+    outbox_.Log("sessions_asked_to_end",
+                {{"reason", reason}, {"sessions", std::to_string(requested)}});
   }
-  NoteEnding(ending, reason);
+  LogEndingSessions(ending, reason);
   for (const SessionNumber number : ending) {
     Session& session = sessions_.at(number);
     if (session.operation) {
-      EndOperation(session, reason, now);
+      InterruptOperation(session, reason, now);
     }
-    // Before it is accepted, one that was handed over is taken by another owner if it ends unheard.
-    const bool untold = !session.accepted && !(session.handed_over && session.queue.empty());
-    outbox_.Emit(untold ? CloseSession{number, true, model::ErrorCode::kBusy,
-                                       std::string(kComeBack) + reason}
-                        : CloseSession{number});
+    // A session that was handed over and not accepted yet goes to another owner if it is closed
+    // without an error; one with pending commands gets the error.
+    const bool with_error =
+        !session.accepted && !(session.handed_over && session.pending_commands.empty());
+    outbox_.Emit(with_error ? CloseSession{number, true, model::ErrorCode::kBusy,
+                                           std::string(kRetryAfter) + reason}
+                            : CloseSession{number});
     SessionClosed(number, now);
   }
-  return left;
+  return remaining;
 }
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/dispatcher_waiting.cc
+++ b/src/proxy/dispatcher_waiting.cc
@@ -1,5 +1,5 @@
-// What the decisions on waiting (waiting/service_queues.h) mean for operations: who is refused,
-// and when its caller should come back.
+// Queues the dispatcher's operations (waiting/service_queues.h), refuses those that can't start in
+// time with a retry-after time, and reports the load.
 
 #include <algorithm>
 
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr const char* kRefusedEarly = "refused early: ";
-/// Time in which refusals of one session, without a success between, count as attempts of one
-/// request: the shortest deadline of the callers that try again.
-constexpr common::Duration kRetryMemory{2'000'000};
+/// Refusals of one session within this time, without a success in between, count as attempts of one
+/// request. It is the shortest deadline of callers that retry.
+constexpr common::Duration kRetryWindow{2'000'000};
 
-common::Instant HoldEnd(const Operation& operation) {
-  return std::min(operation.hold_until, operation.deadline);
+common::Instant QueueEnd(const Operation& operation) {
+  return std::min(operation.queue_deadline, operation.deadline);
 }
 
 }  // namespace
@@ -25,7 +25,7 @@
   return {session.operation->route.service, needs};
 }
 
-void Dispatcher::JoinQueue(const Session& session) {
+void Dispatcher::Enqueue(const Session& session) {
   const Operation& operation = *session.operation;
   waiting::waiter waiter;
   waiter.number = session.number;
@@ -33,44 +33,44 @@
   waiter.priority = operation.route.priority;
   waiter.target_latency = operation.route.target_latency;
   waiter.arrived = operation.arrived;
-  waiter.hold_until = HoldEnd(operation);
+  waiter.hold_until = QueueEnd(operation);
   const waiting::target target = TargetOf(session);
   waiter.needs = target.needs;
-  waiting_.add(target.service, waiter, operation.waits_for_room);
+  queues_.add(target.service, waiter, operation.waits_only_for_slot);
 }
 
-void Dispatcher::NoteNoRoom(Session& session, std::size_t places, common::Instant now) {
-  // Of a read that was sent and not answered it is not known that it did not run.
-  session.operation->waits_for_room = session.operation->resends == 0;
-  waiting_.note_blocked(TargetOf(session), places, now);
+void Dispatcher::RecordNoFreeSlot(Session& session, std::size_t instances, common::Instant now) {
+  // A read that was sent without an answer may have run; it is not refused early.
+  session.operation->waits_only_for_slot = session.operation->resends == 0;
+  queues_.note_blocked(TargetOf(session), instances, now);
 }
 
-void Dispatcher::NoteStarted(const Session& session, common::Instant now) {
+void Dispatcher::RecordStart(const Session& session, common::Instant now) {
   const Operation& operation = *session.operation;
-  waiting_.note_started(TargetOf(session),
-                        {session.number, operation.route.priority, operation.tenant}, now);
+  queues_.note_started(TargetOf(session),
+                       {session.number, operation.route.priority, operation.tenant}, now);
 }
 
-void Dispatcher::ObserveOperation(const Session& session, const Operation& operation,
-                                  common::Instant now) {
-  const bool sent = operation.phase != OperationPhase::kWaiting;
-  const bool in_transaction = sent && operation.attempts == 0;  // where the room was taken before
+void Dispatcher::ReportOperation(const Session& session, const Operation& operation,
+                                 common::Instant now) {
+  const bool sent = operation.phase != OperationPhase::kQueued;
+  const bool in_transaction = sent && operation.attempts == 0;  // it took its slot before
   if (load_observer_ == nullptr || in_transaction) {
     return;
   }
-  waiting::arrival came;
-  came.at = operation.arrived;
-  came.service = operation.route.service;
-  came.needs = TargetOf(session).needs;
-  came.tenant = operation.tenant;
-  came.priority = operation.route.priority;
-  came.target_latency = operation.route.target_latency;
-  came.hold = HoldEnd(operation) - operation.arrived;
-  came.work = sent ? now - operation.sent : common::Duration(0);
-  load_observer_->note_operation(came);
+  waiting::arrival reported;
+  reported.at = operation.arrived;
+  reported.service = operation.route.service;
+  reported.needs = TargetOf(session).needs;
+  reported.tenant = operation.tenant;
+  reported.priority = operation.route.priority;
+  reported.target_latency = operation.route.target_latency;
+  reported.hold = QueueEnd(operation) - operation.arrived;
+  reported.work = sent ? now - operation.sent : common::Duration(0);
+  load_observer_->note_operation(reported);
 }
 
-void Dispatcher::ObserveCapacity(common::Instant now) {
+void Dispatcher::ReportCapacity(common::Instant now) {
   if (load_observer_ == nullptr) {
     return;
   }
@@ -90,42 +90,44 @@
   }
 }
 
-void Dispatcher::RefuseHopeless(common::Instant now) {
+void Dispatcher::RefuseEarly(common::Instant now) {
   if (!settings_.early_refusal) {
     return;
   }
-  for (const waiting::hopeless& found : waiting_.find_hopeless(now)) {
-    Session* session = Find(found.number);
-    const bool waits = session != nullptr && session->operation &&
-                       session->operation->phase == OperationPhase::kWaiting;
-    if (!waits) {
-      continue;  // another's refusal gave it room
+  for (const waiting::hopeless& late : queues_.find_hopeless(now)) {
+    Session* session = FindSession(late.number);
+    const bool queued = session != nullptr && session->operation &&
+                        session->operation->phase == OperationPhase::kQueued;
+    if (!queued) {
+      continue;  // it got a slot freed by another's refusal
     }
-    session->operation->forecast = found.likely_wait;
+    session->operation->expected_wait = late.likely_wait;
     ++counters_.refused_early;
-    RefuseWaiting(*session, std::string(kRefusedEarly) + session->operation->last_refusal, now);
+    RefuseWithRetryAfter(*session, std::string(kRefusedEarly) + session->operation->last_refusal,
+                         now);
   }
 }
 
-void Dispatcher::RefuseHeld(Session& session, common::Instant now) {
+void Dispatcher::RefuseAtQueueDeadline(Session& session, common::Instant now) {
   Operation& operation = *session.operation;
-  ++counters_.held_in_vain[operation.last_refusal];
-  if (operation.waits_for_room) {
-    operation.forecast = waiting_.likely_wait(TargetOf(session), now);
+  ++counters_.refused_at_queue_deadline[operation.last_refusal];
+  if (operation.waits_only_for_slot) {
+    operation.expected_wait = queues_.likely_wait(TargetOf(session), now);
   }
-  RefuseWaiting(session, operation.last_refusal, now);
+  RefuseWithRetryAfter(session, operation.last_refusal, now);
 }
 
-void Dispatcher::RefuseWaiting(Session& session, const std::string& reason, common::Instant now) {
+void Dispatcher::RefuseWithRetryAfter(Session& session, const std::string& reason,
+                                      common::Instant now) {
   const Operation& operation = *session.operation;
-  const bool tries_again = session.refused_since && now < *session.refused_since + kRetryMemory;
-  session.refused_since = tries_again ? *session.refused_since : operation.arrived;
+  const bool is_retry = session.refused_since && now < *session.refused_since + kRetryWindow;
+  session.refused_since = is_retry ? *session.refused_since : operation.arrived;
   waiting::refused_attempt refused;
   refused.session = session.number;
   refused.since_first = now - *session.refused_since;
-  refused.hold = HoldEnd(operation) - operation.arrived;
+  refused.hold = QueueEnd(operation) - operation.arrived;
   refused.target_latency = operation.route.target_latency;
-  refused.likely_wait = operation.forecast;
+  refused.likely_wait = operation.expected_wait;
   const common::Duration pause = waiting::come_back(refused);
   FinishWithError(session, model::ErrorCode::kBusy,
                   "retry_after_ms=" + Milliseconds(pause) + " " + reason, now);
