--- a/src/host/metrics.cc
+++ b/src/host/metrics.cc
@@ -181,7 +181,7 @@
     Gauge("valvekeel_connections", "Connections to the instance", {{"instance", id}},
           static_cast<double>(backend.Connections().size()));
     Gauge("valvekeel_requests_in_flight", "Connections with a request outstanding",
-          {{"instance", id}}, static_cast<double>(backend.Busy()));
+          {{"instance", id}}, static_cast<double>(backend.BusyCount()));
   }
   Gauge("valvekeel_log_lines_dropped_total", "Log lines lost to a slow reader", {},
         static_cast<double>(log.Dropped()));
--- a/src/host/proxy_host_actions.cc
+++ b/src/host/proxy_host_actions.cc
@@ -107,7 +107,7 @@
       [this, number](net::ConnectFault fault) {
         FailConnection(number,
                        fault == net::ConnectFault::kRefused ? proxy::OpenFailure::kRefused
-                                                            : proxy::OpenFailure::kSilent,
+                                                            : proxy::OpenFailure::kTimedOut,
                        model::ErrorCode::kFailed);
       });
 }
--- a/src/proxy/backend.cc
+++ b/src/proxy/backend.cc
@@ -57,7 +57,7 @@
   return found == connections_.end() ? nullptr : &found->second;
 }
 
-Connection* Backend::PickForOther(const std::string& tenant) {
+Connection* Backend::PickFreeOfOtherTenant(const std::string& tenant) {
   Connection* oldest = nullptr;
   for (auto& [number, connection] : connections_) {
     const bool other = IsFree(connection) && connection.tenant != tenant;
@@ -86,13 +86,13 @@
   return best;
 }
 
-std::size_t Backend::Opening() const {
+std::size_t Backend::OpeningCount() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(),
                     [](const auto& entry) { return !entry.second.open; }));
 }
 
-std::size_t Backend::Busy() const {
+std::size_t Backend::BusyCount() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(), [](const auto& entry) {
         const Connection& connection = entry.second;
@@ -102,32 +102,32 @@
       }));
 }
 
-void Backend::Heard(common::Instant now) {
-  last_heard_ = now;
+void Backend::OnContact(common::Instant now) {
+  last_contact_ = now;
   unreachable_since_.reset();
 }
 
-void Backend::OpenFailed(common::Instant now, bool refused) {
+void Backend::OnOpenFailed(common::Instant now, bool refused) {
   open_not_before_ = now + kReopenPause;
-  const bool silent = now >= last_heard_ + kSilence;
+  const bool silent = now >= last_contact_ + kSilence;
   if ((refused || silent) && !unreachable_since_) {
     unreachable_since_ = now;
   }
 }
 
-void Backend::ProbeFailed(common::Instant now) {
-  const bool silent = now >= last_heard_ + kSilence;
+void Backend::OnProbeFailed(common::Instant now) {
+  const bool silent = now >= last_contact_ + kSilence;
   if (silent && !unreachable_since_) {
     unreachable_since_ = now;
   }
 }
 
-bool Backend::Silent(common::Instant now) const {
+bool Backend::IsUnresponsive(common::Instant now) const {
   for (const auto& [number, connection] : connections_) {
     if (connection.outstanding.empty()) {
       continue;
     }
-    const common::Instant since = std::max(connection.outstanding.front().sent, last_heard_);
+    const common::Instant since = std::max(connection.outstanding.front().sent, last_contact_);
     if (now >= since + kSilence) {
       return true;
     }
@@ -135,65 +135,65 @@
   return false;
 }
 
-void Backend::NoteSuccess(common::Duration latency) {
+void Backend::RecordLatency(common::Duration latency) {
   const auto microseconds = static_cast<double>(latency.count());
   latency_us_ += kLatencyWeight * (microseconds - latency_us_);
-  usual_latency_us_ += (latency_us_ < usual_latency_us_ ? kFallWeight : kRiseWeight) *
-                       (latency_us_ - usual_latency_us_);
+  baseline_latency_us_ += (latency_us_ < baseline_latency_us_ ? kFallWeight : kRiseWeight) *
+                          (latency_us_ - baseline_latency_us_);
   in_flight_limit_ =
       std::min(kInFlightPerSlot * std::max(1U, entry_.slots), in_flight_limit_ + kSuccessStep);
   busy_pause_ = common::Duration(0);
 }
 
-void Backend::NoteBusy(common::Instant now) {
+void Backend::OnBusy(common::Instant now) {
   if (now < avoid_until_) {
     return;  // another answer of the same moment
   }
-  in_flight_limit_ = std::max(kLeastInFlight, in_flight_limit_ * kBusyFactor);
+  in_flight_limit_ = std::max(kMinInFlight, in_flight_limit_ * kBusyFactor);
   busy_pause_ = std::clamp(busy_pause_ * 2, kShortestBusyPause, kLongestBusyPause);
   avoid_until_ = now + busy_pause_;
 }
 
-bool Backend::Congested() const { return latency_us_ > kCongestedRatio * usual_latency_us_; }
+bool Backend::Congested() const { return latency_us_ > kCongestedRatio * baseline_latency_us_; }
 
-void Backend::NoteCrowdedOut(const Urgency& urgency, common::Instant now) {
-  const bool tighter = urgency.target_latency < crowded_out_.target_latency;
-  if (now >= crowded_until_ || tighter) {
-    crowded_out_ = urgency;
+void Backend::OnStarved(const Urgency& urgency, common::Instant now) {
+  const bool tighter = urgency.target_latency < starved_urgency_.target_latency;
+  if (now >= starved_until_ || tighter) {
+    starved_urgency_ = urgency;
   }
-  crowded_until_ = now + kCrowdedTime;
+  starved_until_ = now + kCrowdedTime;
 }
 
-bool Backend::LeftToImpatient(const Urgency& urgency, common::Instant now) const {
-  const bool crowded = now < crowded_until_ && urgency.priority == crowded_out_.priority;
-  const bool patient =
-      urgency.target_latency * kPatientRatio.den > crowded_out_.target_latency * kPatientRatio.num;
+bool Backend::ReservedForMoreUrgent(const Urgency& urgency, common::Instant now) const {
+  const bool crowded = now < starved_until_ && urgency.priority == starved_urgency_.priority;
+  const bool patient = urgency.target_latency * kPatientRatio.den >
+                       starved_urgency_.target_latency * kPatientRatio.num;
   return crowded && patient && Congested();
 }
 
 common::Duration Backend::LagEstimate(common::Instant now) const {
   // What was true a while ago is tried again: the estimate halves with time.
-  const auto halvings = static_cast<double>((now - lag_refused_at_).count()) /
+  const auto halvings = static_cast<double>((now - requirement_refused_at_).count()) /
                         static_cast<double>(kLagHalfLife.count());
-  return common::Duration(
-      static_cast<std::int64_t>(static_cast<double>(lag_refused_.count()) * std::exp2(-halvings)));
+  return common::Duration(static_cast<std::int64_t>(
+      static_cast<double>(refused_requirement_age_.count()) * std::exp2(-halvings)));
 }
 
-void Backend::NoteLagging(common::Duration age, bool bound_missed, common::Instant now) {
-  lag_refused_ = std::max(LagEstimate(now), age);
-  lag_refused_at_ = now;
+void Backend::OnLaggingRead(common::Duration age, bool bound_missed, common::Instant now) {
+  refused_requirement_age_ = std::max(LagEstimate(now), age);
+  requirement_refused_at_ = now;
   if (bound_missed && now >= lagging_until_) {
     lagging_pause_ = std::clamp(lagging_pause_ * 2, kShortestLaggingPause, kLongestLaggingPause);
     lagging_until_ = now + lagging_pause_;
   }
 }
 
-void Backend::NoteFresh(common::Duration age, common::Instant now) {
+void Backend::OnFreshRead(common::Duration age, common::Instant now) {
   lagging_pause_ = common::Duration(0);
   lagging_until_ = common::Instant(0);
   if (age < LagEstimate(now)) {
-    lag_refused_ = age;
-    lag_refused_at_ = now;
+    refused_requirement_age_ = age;
+    requirement_refused_at_ = now;
   }
 }
 
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -36,7 +36,7 @@
 /// Number of a control request.
 using ControlNumber = std::uint64_t;
 
-struct Outstanding {
+struct OutstandingRequest {
   Purpose purpose = Purpose::kStatement;
   common::Instant sent{0};
   ControlNumber control = 0;
@@ -53,11 +53,11 @@
   std::map<model::PreparedStatement, std::string> prepared;  // names on this connection
   std::optional<SessionNumber> session;                      // that it belongs to for now
   model::TransactionState state = model::TransactionState::kIdle;
-  std::deque<Outstanding> outstanding;
+  std::deque<OutstandingRequest> outstanding;
 };
 
 /// A control request that waits for a connection or an answer.
-struct ControlItem {
+struct QueuedControlRequest {
   ControlNumber number = 0;
   model::ControlRequest request;
   common::Instant queued{0};
@@ -67,7 +67,7 @@
 inline constexpr double kInitialLatencyUs = 10'000;
 
 /// Statements that may always be in flight.
-inline constexpr double kLeastInFlight = 1;
+inline constexpr double kMinInFlight = 1;
 
 /// How an operation's route ranks it among those that wait.
 struct Urgency {
@@ -94,28 +94,28 @@
   /// @return a free connection for requests of the proxy's own: whose it is does not matter.
   Connection* PickAnyFree();
   /// @return the free connection of another tenant that was used least recently, or nothing.
-  Connection* PickForOther(const std::string& tenant);
-  std::size_t Opening() const;
-  std::size_t Busy() const;  // connections that work for somebody
+  Connection* PickFreeOfOtherTenant(const std::string& tenant);
+  std::size_t OpeningCount() const;
+  std::size_t BusyCount() const;  // connections that work for somebody
 
   /// @return true if one more statement may be sent. The limit adapts to the instance's refusals,
   /// and a congested instance gets one at a time: the queue is kept here, where it has an order.
-  bool HasRoom() const {
-    return static_cast<double>(Busy()) < (Congested() ? kLeastInFlight : in_flight_limit_);
+  bool HasCapacity() const {
+    return static_cast<double>(BusyCount()) < (Congested() ? kMinInFlight : in_flight_limit_);
   }
 
   // Health.
-  void Heard(common::Instant now);
-  void OpenFailed(common::Instant now, bool refused);
-  void ProbeFailed(common::Instant now);
+  void OnContact(common::Instant now);
+  void OnOpenFailed(common::Instant now, bool refused);
+  void OnProbeFailed(common::Instant now);
 
   /// @return true if it answered, or accepted a connection, within this time.
-  bool HeardWithin(common::Duration age, common::Instant now) const {
-    return now < last_heard_ + age;
+  bool ContactedWithin(common::Duration age, common::Instant now) const {
+    return now < last_contact_ + age;
   }
 
   /// @return true if requests have been unanswered in silence for a while.
-  bool Silent(common::Instant now) const;
+  bool IsUnresponsive(common::Instant now) const;
 
   /// @return true if it does not answer at all.
   bool Unreachable() const { return unreachable_since_.has_value(); }
@@ -125,8 +125,8 @@
   void DelayOpening(common::Instant until) { open_not_before_ = until; }
 
   // Load.
-  void NoteSuccess(common::Duration latency);
-  void NoteBusy(common::Instant now);
+  void RecordLatency(common::Duration latency);
+  void OnBusy(common::Instant now);
   double LatencyUs() const { return latency_us_; }
   /// @return true if its answers take much longer than usual.
   bool Congested() const;
@@ -134,48 +134,48 @@
   common::Instant AvoidUntil() const { return avoid_until_; }
 
   /// An operation of this urgency has found no room for a while.
-  void NoteCrowdedOut(const Urgency& urgency, common::Instant now);
+  void OnStarved(const Urgency& urgency, common::Instant now);
   /// @return true if this operation should leave the instance to those of its priority that have
   /// clearly less time: some were crowded out a moment ago, and the instance is congested.
-  bool LeftToImpatient(const Urgency& urgency, common::Instant now) const;
+  bool ReservedForMoreUrgent(const Urgency& urgency, common::Instant now) const;
 
   // Replication lag, as far as reads show it.
   /// A read with this age of its requirement was refused as lagging.
-  void NoteLagging(common::Duration age, bool bound_missed, common::Instant now);
+  void OnLaggingRead(common::Duration age, bool bound_missed, common::Instant now);
   /// A read with this age of its requirement was served.
-  void NoteFresh(common::Duration age, common::Instant now);
+  void OnFreshRead(common::Duration age, common::Instant now);
   /// @return true if a requirement of this age is expected to be met.
   bool ExpectedFresh(common::Duration age, common::Instant now) const;
 
   common::Instant probe_sent_at{0};  // of the last health probe
-  std::deque<ControlItem> control_queue;
-  std::optional<common::Instant> gone_since;      // its entry is no longer listed
+  std::deque<QueuedControlRequest> control_queue;
+  std::optional<common::Instant> unlisted_since;  // its entry is no longer listed
   std::optional<common::Instant> draining_since;  // it said that it will end
   std::optional<model::InstanceStatus> status;    // last seen
   common::Instant status_at{0};                   // when that was
-  bool displaced = false;                         // another instance answers at its address
-  warm_up::instance_life life;
+  bool address_taken = false;                     // another instance answers at its address
+  warm_up::instance_life restart_detection;
 
  private:
   static bool IsFree(const Connection& connection);
 
   model::InstanceEntry entry_;
   std::map<ConnectionNumber, Connection> connections_;
-  common::Instant last_heard_{0};
+  common::Instant last_contact_{0};
   std::optional<common::Instant> unreachable_since_;
   common::Instant open_not_before_{0};
   double latency_us_ = kInitialLatencyUs;
-  double usual_latency_us_ = kInitialLatencyUs;
+  double baseline_latency_us_ = kInitialLatencyUs;
   double in_flight_limit_;
   common::Instant avoid_until_{0};  // after it refused for want of capacity
   common::Duration busy_pause_{0};
-  Urgency crowded_out_;  // of an operation that found no room lately
-  common::Instant crowded_until_{0};
+  Urgency starved_urgency_;  // of an operation that found no room lately
+  common::Instant starved_until_{0};
   common::Duration LagEstimate(common::Instant now) const;
 
-  common::Duration lag_refused_{0};    // highest age of a requirement refused lately
-  common::Instant lag_refused_at_{0};  // when that was
-  common::Instant lagging_until_{0};   // after it lacked even what the bound asks for
+  common::Duration refused_requirement_age_{0};  // highest age of a requirement refused lately
+  common::Instant requirement_refused_at_{0};    // when that was
+  common::Instant lagging_until_{0};             // after it lacked even what the bound asks for
   common::Duration lagging_pause_{0};
 };
 
--- a/src/proxy/backend_set.cc
+++ b/src/proxy/backend_set.cc
@@ -28,7 +28,7 @@
   switch (failure) {
     case OpenFailure::kRefused:
       return "refused";
-    case OpenFailure::kSilent:
+    case OpenFailure::kTimedOut:
       return "silent";
     case OpenFailure::kRejected:
       return "another instance answers";
@@ -52,14 +52,14 @@
   Backend& backend = backends_.at(entry.id);
   const std::uint64_t before = backend.Entry().incarnation;
   if (before != 0 && entry.incarnation != 0 && entry.incarnation != before) {
-    BeginLife(backend, entry, now);
+    BeginIncarnation(backend, entry, now);
   }
   if (backend.Entry().service != entry.service) {
     RemoveFromService(backend.Entry());
     AddToService(entry);
   }
   backend.SetEntry(entry);
-  backend.gone_since.reset();
+  backend.unlisted_since.reset();
   if (!entry.draining) {
     backend.draining_since.reset();
   } else if (!backend.draining_since) {
@@ -68,8 +68,8 @@
   }
 }
 
-void BackendSet::BeginLife(Backend& backend, const model::InstanceEntry& entry,
-                           common::Instant now) {
+void BackendSet::BeginIncarnation(Backend& backend, const model::InstanceEntry& entry,
+                                  common::Instant now) {
   outbox_.Log("instance_restarted",
               {{"instance", entry.id},
                {"service", entry.service},
@@ -80,16 +80,16 @@
   while (!backend.Connections().empty()) {
     const ConnectionNumber number = backend.Connections().begin()->first;
     outbox_.Emit(CloseConnection{number});
-    Lose(backend, number, now);
+    DropLostConnection(backend, number, now);
   }
-  std::deque<ControlItem> queued = std::exchange(backend.control_queue, {});
+  std::deque<QueuedControlRequest> queued = std::exchange(backend.control_queue, {});
   const std::string service = backend.Entry().service;
   backend = Backend(entry);
   if (service != entry.service) {
     std::erase(ids_by_service_[service], entry.id);
     AddToService(entry);
   }
-  for (const ControlItem& item : queued) {
+  for (const QueuedControlRequest& item : queued) {
     FinishControl(item.number, std::nullopt, now);
   }
   if (restart_observer_ != nullptr) {
@@ -97,8 +97,8 @@
   }
 }
 
-void BackendSet::TakeStatus(Backend& backend, const model::InstanceStatus& status,
-                            common::Instant sent, common::Instant now) {
+void BackendSet::ApplyStatus(Backend& backend, const model::InstanceStatus& status,
+                             common::Instant sent, common::Instant now) {
   // A log grows within a term and terms don't fall: less than was told before shows that the
   // instance has lost what it held, before its entry tells of the new start.
   const bool later = backend.status && sent >= backend.status_at;
@@ -135,10 +135,10 @@
   return found == ids_by_service_.end() ? kNone : found->second;
 }
 
-void BackendSet::EntryGone(const std::string& id, common::Instant now) {
+void BackendSet::OnEntryRemoved(const std::string& id, common::Instant now) {
   Backend* backend = Find(id);
-  if (backend != nullptr && !backend->gone_since) {
-    backend->gone_since = now;
+  if (backend != nullptr && !backend->unlisted_since) {
+    backend->unlisted_since = now;
     outbox_.Log("instance_unlisted", {{"instance", id}, {"service", backend->Entry().service}});
   }
 }
@@ -149,12 +149,12 @@
 }
 
 Connection* BackendSet::FindConnection(ConnectionNumber number) {
-  Backend* backend = Owner(number);
+  Backend* backend = BackendOf(number);
   return backend == nullptr ? nullptr : backend->Find(number);
 }
 
-bool BackendSet::IsSucceeded(const Backend& backend) const {
-  if (!backend.gone_since && !backend.displaced) {
+bool BackendSet::HasSuccessor(const Backend& backend) const {
+  if (!backend.unlisted_since && !backend.address_taken) {
     return false;
   }
   const model::InstanceEntry& entry = backend.Entry();
@@ -162,8 +162,8 @@
   return std::any_of(ids.begin(), ids.end(), [&](const std::string& id) {
     const Backend& other = backends_.at(id);
     const model::InstanceEntry& successor = other.Entry();
-    return successor.id != entry.id && successor.address == entry.address && !other.gone_since &&
-           !other.displaced;
+    return successor.id != entry.id && successor.address == entry.address &&
+           !other.unlisted_since && !other.address_taken;
   });
 }
 
@@ -193,7 +193,7 @@
     return std::nullopt;
   }
   if (backend.Connections().size() >= ConnectionLimit(backend.Entry().service)) {
-    const Connection* replaced = backend.PickForOther(tenant);
+    const Connection* replaced = backend.PickFreeOfOtherTenant(tenant);
     if (replaced == nullptr) {
       return std::nullopt;
     }
@@ -206,7 +206,7 @@
                                           common::Instant now) {
   const ConnectionNumber number = outbox_.NextNumber();
   backend.Add(number, tenant, now);
-  owners_[number] = backend.Entry().id;
+  backend_ids_by_connection_[number] = backend.Entry().id;
   outbox_.Emit(OpenConnection{number, backend.Entry().address, backend.Entry().service,
                               backend.Entry().id, tenant});
   return number;
@@ -223,8 +223,9 @@
   outbox_.Emit(SendRequests{connection.number, std::move(requests)});
 }
 
-void BackendSet::Control(const std::string& instance, const model::ControlRequest& request,
-                         ControlCallback callback, common::Instant now) {
+void BackendSet::QueueControlRequest(const std::string& instance,
+                                     const model::ControlRequest& request, ControlCallback callback,
+                                     common::Instant now) {
   Backend* backend = Find(instance);
   if (backend == nullptr) {
     callback(std::nullopt, now);
@@ -233,19 +234,19 @@
   const ControlNumber number = outbox_.NextNumber();
   controls_[number] = {std::move(callback), instance, now};
   backend->control_queue.push_back({number, request, now});
-  ServeControls(*backend, now);
+  SendQueuedControls(*backend, now);
 }
 
-void BackendSet::ServeControls(Backend& backend, common::Instant now) {
+void BackendSet::SendQueuedControls(Backend& backend, common::Instant now) {
   while (!backend.control_queue.empty()) {
     Connection* connection = backend.PickAnyFree();
     if (connection == nullptr) {
-      if (backend.Opening() == 0) {
+      if (backend.OpeningCount() == 0) {
         Open(backend, now, kExtraForControl);
       }
       return;
     }
-    const ControlItem item = backend.control_queue.front();
+    const QueuedControlRequest item = backend.control_queue.front();
     backend.control_queue.pop_front();
     connection->outstanding.push_back({Purpose::kControl, now, item.number});
     outbox_.Emit(SendRequests{connection->number, {item.request}});
@@ -274,7 +275,7 @@
          Purpose::kCleanup, now);
     return;
   }
-  ServeControls(backend, now);
+  SendQueuedControls(backend, now);
 }
 
 void BackendSet::Close(Backend& backend, ConnectionNumber number) {
@@ -283,9 +284,9 @@
     return;
   }
   outbox_.Emit(CloseConnection{number});
-  owners_.erase(number);
+  backend_ids_by_connection_.erase(number);
   std::vector<ControlNumber> unanswered;
-  for (const Outstanding& outstanding : connection->outstanding) {
+  for (const OutstandingRequest& outstanding : connection->outstanding) {
     if (outstanding.purpose == Purpose::kControl) {
       unanswered.push_back(outstanding.control);
     }
@@ -300,21 +301,21 @@
   }
 }
 
-Backend* BackendSet::Owner(ConnectionNumber number) {
-  const auto owner = owners_.find(number);
-  return owner == owners_.end() ? nullptr : Find(owner->second);
+Backend* BackendSet::BackendOf(ConnectionNumber number) {
+  const auto owner = backend_ids_by_connection_.find(number);
+  return owner == backend_ids_by_connection_.end() ? nullptr : Find(owner->second);
 }
 
-void BackendSet::Opened(ConnectionNumber number, common::Instant now) {
-  Backend* backend = Owner(number);
+void BackendSet::OnOpened(ConnectionNumber number, common::Instant now) {
+  Backend* backend = BackendOf(number);
   if (backend == nullptr) {
     return;
   }
   const bool was_unreachable = backend->Unreachable();
   const bool may_have_restarted = was_unreachable || backend->Connections().size() == 1;
-  backend->displaced = false;
-  NoteLife(*backend, now);
-  backend->Heard(now);
+  backend->address_taken = false;
+  DetectRestart(*backend, now);
+  backend->OnContact(now);
   if (was_unreachable) {
     outbox_.Log("instance_regained", {{"instance", backend->Entry().id}});
   }
@@ -324,52 +325,52 @@
   connection->last_used = now;
   if (may_have_restarted && backend->status) {
     // Its entry may come later, or never to a daemon that is cut off from the store.
-    Control(
+    QueueControlRequest(
         backend->Entry().id, {model::ControlKind::kStatus, 0},
         [](const std::optional<model::InstanceStatus>&, common::Instant) {}, now);
   }
-  ServeControls(*backend, now);
+  SendQueuedControls(*backend, now);
   observer_->OnCapacity(now);
 }
 
-void BackendSet::NoteLife(Backend& backend, common::Instant now) {
-  const bool may_have_restarted = backend.life.note_opened();
-  if (life_observer_ == nullptr) {
+void BackendSet::DetectRestart(Backend& backend, common::Instant now) {
+  const bool may_have_restarted = backend.restart_detection.note_opened();
+  if (warm_up_observer_ == nullptr) {
     return;
   }
   if (may_have_restarted) {
-    life_observer_->may_have_restarted(backend.Entry(), now);
+    warm_up_observer_->may_have_restarted(backend.Entry(), now);
     return;
   }
   const bool connected = std::any_of(backend.Connections().begin(), backend.Connections().end(),
                                      [](const auto& each) { return each.second.open; });
-  if (!connected && !backend.HeardWithin(kShortGap, now)) {
-    life_observer_->first_contact(backend.Entry(), now);
+  if (!connected && !backend.ContactedWithin(kShortGap, now)) {
+    warm_up_observer_->first_contact(backend.Entry(), now);
   }
 }
 
-void BackendSet::OpenFailed(ConnectionNumber number, OpenFailure failure, model::ErrorCode error,
-                            common::Instant now) {
-  Backend* backend = Owner(number);
+void BackendSet::OnOpenFailed(ConnectionNumber number, OpenFailure failure, model::ErrorCode error,
+                              common::Instant now) {
+  Backend* backend = BackendOf(number);
   if (backend == nullptr) {
     return;
   }
-  owners_.erase(number);
+  backend_ids_by_connection_.erase(number);
   backend->Remove(number);
   const bool wrong_instance =
       failure == OpenFailure::kRejected && error == model::ErrorCode::kWrongInstance;
   if (failure != OpenFailure::kRejected || wrong_instance) {
-    backend->displaced = wrong_instance;
+    backend->address_taken = wrong_instance;
     const bool was_unreachable = backend->Unreachable();
-    backend->OpenFailed(now, failure != OpenFailure::kSilent);
+    backend->OnOpenFailed(now, failure != OpenFailure::kTimedOut);
     if (!was_unreachable && backend->Unreachable()) {
-      backend->life.note_break(now);
+      backend->restart_detection.note_break(now);
       outbox_.Log("instance_lost",
                   {{"instance", backend->Entry().id}, {"reason", OpenFailureName(failure)}},
                   LogLevel::kWarning);
     }
   } else {
-    backend->Heard(now);
+    backend->OnContact(now);
     backend->DelayOpening(now + kCrowdedPause);
     outbox_.Log("connection_rejected",
                 {{"instance", backend->Entry().id}, {"reason", model::ErrorCodeName(error)}});
@@ -377,29 +378,31 @@
   observer_->OnCapacity(now);
 }
 
-void BackendSet::Answered(ConnectionNumber number, const model::Reply& reply, common::Instant now) {
-  Backend* backend = Owner(number);
+void BackendSet::OnAnswered(ConnectionNumber number, const model::Reply& reply,
+                            common::Instant now) {
+  Backend* backend = BackendOf(number);
   Connection* connection = backend == nullptr ? nullptr : backend->Find(number);
   if (connection == nullptr) {
     return;
   }
-  backend->Heard(now);
+  backend->OnContact(now);
   if (connection->outstanding.empty()) {
-    Closed(number, now);
+    OnClosed(number, now);
     outbox_.Emit(CloseConnection{number});
     return;
   }
-  const Outstanding outstanding = connection->outstanding.front();
+  const OutstandingRequest outstanding = connection->outstanding.front();
   connection->outstanding.pop_front();
   connection->state = reply.state;
   connection->last_used = now;
-  const bool lives_on = backend->life.note_answered(connection->opened, outstanding.sent);
-  if (lives_on && life_observer_ != nullptr) {
-    life_observer_->same_life(backend->Entry());
+  const bool lives_on =
+      backend->restart_detection.note_answered(connection->opened, outstanding.sent);
+  if (lives_on && warm_up_observer_ != nullptr) {
+    warm_up_observer_->same_life(backend->Entry());
   }
   if (outstanding.purpose == Purpose::kControl) {
     if (reply.status) {
-      TakeStatus(*backend, *reply.status, outstanding.sent, now);
+      ApplyStatus(*backend, *reply.status, outstanding.sent, now);
     }
     FinishControl(outstanding.control, reply.status, now);
     // The callback may have closed the connection.
@@ -417,29 +420,30 @@
   }
 }
 
-void BackendSet::Closed(ConnectionNumber number, common::Instant now) {
-  Backend* backend = Owner(number);
+void BackendSet::OnClosed(ConnectionNumber number, common::Instant now) {
+  Backend* backend = BackendOf(number);
   Connection* connection = backend == nullptr ? nullptr : backend->Find(number);
   if (connection == nullptr) {
     return;
   }
   if (!connection->open) {
-    OpenFailed(number, OpenFailure::kRefused, model::ErrorCode::kFailed, now);
+    OnOpenFailed(number, OpenFailure::kRefused, model::ErrorCode::kFailed, now);
     return;
   }
-  backend->life.note_break(now);
-  Lose(*backend, number, now);
+  backend->restart_detection.note_break(now);
+  DropLostConnection(*backend, number, now);
   // Find out at once whether the instance still listens.
   if (backend->Connections().empty() && Watched(backend->Entry().service)) {
     Open(*backend, now);
   }
 }
 
-void BackendSet::Lose(Backend& backend, ConnectionNumber number, common::Instant now) {
+void BackendSet::DropLostConnection(Backend& backend, ConnectionNumber number,
+                                    common::Instant now) {
   Connection lost = std::move(*backend.Find(number));
-  owners_.erase(number);
+  backend_ids_by_connection_.erase(number);
   backend.Remove(number);
-  for (const Outstanding& outstanding : lost.outstanding) {
+  for (const OutstandingRequest& outstanding : lost.outstanding) {
     if (outstanding.purpose == Purpose::kControl) {
       FinishControl(outstanding.control, std::nullopt, now);
     }
@@ -459,7 +463,7 @@
   for (const ControlNumber number : expired) {
     if (Backend* backend = Find(controls_[number].instance)) {
       std::erase_if(backend->control_queue,
-                    [number](const ControlItem& item) { return item.number == number; });
+                    [number](const QueuedControlRequest& item) { return item.number == number; });
     }
     FinishControl(number, std::nullopt, now);
   }
@@ -467,19 +471,19 @@
 
 void BackendSet::CheckHealth(Backend& backend, common::Instant now) {
   const bool probe_due = now >= backend.probe_sent_at + kProbePause;
-  if (backend.Silent(now) && !backend.Unreachable() && probe_due) {
+  if (backend.IsUnresponsive(now) && !backend.Unreachable() && probe_due) {
     backend.probe_sent_at = now;
     const std::string id = backend.Entry().id;
-    Control(
+    QueueControlRequest(
         id, {model::ControlKind::kStatus, 0},
         [this, id](const std::optional<model::InstanceStatus>& status, common::Instant at) {
           Backend* probed = Find(id);
           if (probed == nullptr || status || probed->Unreachable()) {
             return;
           }
-          probed->ProbeFailed(at);
+          probed->OnProbeFailed(at);
           if (probed->Unreachable()) {
-            probed->life.note_break(at);
+            probed->restart_detection.note_break(at);
             outbox_.Log("instance_lost", {{"instance", id}, {"reason", "silent"}},
                         LogLevel::kWarning);
           }
@@ -488,7 +492,7 @@
   }
   const bool watched = Watched(backend.Entry().service);
   const bool wanted = backend.Unreachable() || backend.Connections().empty();
-  if (watched && wanted && backend.Opening() == 0) {
+  if (watched && wanted && backend.OpeningCount() == 0) {
     Open(backend, now, kExtraForControl);
   }
 }
@@ -520,13 +524,13 @@
   }
   for (const ConnectionNumber number : unopened) {
     outbox_.Emit(CloseConnection{number});
-    OpenFailed(number, OpenFailure::kSilent, model::ErrorCode::kFailed, now);
+    OnOpenFailed(number, OpenFailure::kTimedOut, model::ErrorCode::kFailed, now);
   }
 }
 
-bool BackendSet::RemoveEnded(Backend& backend, common::Instant now) {
-  const bool ended =
-      backend.gone_since && backend.Unreachable() && now >= *backend.gone_since + kRemovedAfter;
+bool BackendSet::CloseIfTerminated(Backend& backend, common::Instant now) {
+  const bool ended = backend.unlisted_since && backend.Unreachable() &&
+                     now >= *backend.unlisted_since + kRemovedAfter;
   if (!ended) {
     return false;
   }
@@ -546,7 +550,7 @@
   for (auto& [id, backend] : backends_) {
     CheckHealth(backend, now);
     TrimConnections(backend, now);
-    if (RemoveEnded(backend, now)) {
+    if (CloseIfTerminated(backend, now)) {
       ended.push_back(id);
     }
   }
--- a/src/proxy/backend_set.h
+++ b/src/proxy/backend_set.h
@@ -24,7 +24,7 @@
 /// Why a connection could not be opened.
 enum class OpenFailure : std::uint8_t {
   kRefused,   // nobody listens
-  kSilent,    // no answer in time
+  kTimedOut,  // no answer in time
   kRejected,  // the instance answered with an error
 };
 
@@ -43,8 +43,9 @@
   virtual ~ConnectionObserver() = default;
 
   /// A request of the session's was answered.
-  virtual void OnAnswer(Backend& backend, Connection& connection, const Outstanding& outstanding,
-                        const model::Reply& reply, common::Instant now) = 0;
+  virtual void OnAnswer(Backend& backend, Connection& connection,
+                        const OutstandingRequest& outstanding, const model::Reply& reply,
+                        common::Instant now) = 0;
 
   /// The connection is gone; it is removed after this call.
   virtual void OnLost(Backend& backend, Connection& connection, common::Instant now) = 0;
@@ -58,14 +59,14 @@
   explicit BackendSet(Outbox& outbox) : outbox_(outbox) {}
 
   void SetObserver(ConnectionObserver* observer) { observer_ = observer; }
-  void SetLifeObserver(warm_up::life_observer* observer) { life_observer_ = observer; }
+  void SetWarmUpObserver(warm_up::life_observer* observer) { warm_up_observer_ = observer; }
   void SetRestartObserver(RestartObserver* observer) { restart_observer_ = observer; }
 
   /// Takes an instance's entry as the store has it.
   void SetEntry(const model::InstanceEntry& entry, common::Instant now);
 
   /// The instance's entry is gone; the instance may still serve.
-  void EntryGone(const std::string& id, common::Instant now);
+  void OnEntryRemoved(const std::string& id, common::Instant now);
 
   Backend* Find(const std::string& id);
 
@@ -74,7 +75,7 @@
 
   /// @return true if the instance is gone, or another one answers at its address, and one of its
   /// service has that address: that one carries its log on.
-  bool IsSucceeded(const Backend& backend) const;
+  bool HasSuccessor(const Backend& backend) const;
   /// @return ids of the service's instances, in order.
   const std::vector<std::string>& IdsOf(const std::string& service) const;
 
@@ -94,12 +95,12 @@
   std::size_t ConnectionLimit(const std::string& service) const;
 
   /// Sets how many connections to an instance may be opening at once.
-  void SetMostOpening(std::size_t most) { most_opening_ = most; }
+  void SetMaxOpening(std::size_t most) { max_opening_ = most; }
 
   /// @return true if one more may be opened for statements that wait.
   bool MayOpenFor(const Backend& backend, std::size_t waiting) const {
-    const std::size_t opening = backend.Opening();
-    return opening <= waiting && opening < most_opening_;
+    const std::size_t opening = backend.OpeningCount();
+    return opening <= waiting && opening < max_opening_;
   }
 
   /// Opens a connection if the limit allows it; else in the place of a free one of another tenant.
@@ -116,8 +117,8 @@
             Purpose purpose, common::Instant now);
 
   /// Sends a control request as soon as a connection is free.
-  void Control(const std::string& instance, const model::ControlRequest& request,
-               ControlCallback callback, common::Instant now);
+  void QueueControlRequest(const std::string& instance, const model::ControlRequest& request,
+                           ControlCallback callback, common::Instant now);
 
   /// Gives a connection back: whatever transaction is open on it is rolled back first.
   void Release(Backend& backend, Connection& connection, common::Instant now);
@@ -125,11 +126,11 @@
   /// Closes a connection without telling the observer.
   void Close(Backend& backend, ConnectionNumber number);
 
-  void Opened(ConnectionNumber number, common::Instant now);
-  void OpenFailed(ConnectionNumber number, OpenFailure failure, model::ErrorCode error,
-                  common::Instant now);
-  void Answered(ConnectionNumber number, const model::Reply& reply, common::Instant now);
-  void Closed(ConnectionNumber number, common::Instant now);
+  void OnOpened(ConnectionNumber number, common::Instant now);
+  void OnOpenFailed(ConnectionNumber number, OpenFailure failure, model::ErrorCode error,
+                    common::Instant now);
+  void OnAnswered(ConnectionNumber number, const model::Reply& reply, common::Instant now);
+  void OnClosed(ConnectionNumber number, common::Instant now);
   void Tick(common::Instant now);
 
  private:
@@ -140,40 +141,40 @@
   };
 
   /// Ends all that was held of an instance's former life.
-  void BeginLife(Backend& backend, const model::InstanceEntry& entry, common::Instant now);
+  void BeginIncarnation(Backend& backend, const model::InstanceEntry& entry, common::Instant now);
   /// Takes an instance's word of itself, to a request sent at an instant.
-  void TakeStatus(Backend& backend, const model::InstanceStatus& status, common::Instant sent,
-                  common::Instant now);
+  void ApplyStatus(Backend& backend, const model::InstanceStatus& status, common::Instant sent,
+                   common::Instant now);
   void AddToService(const model::InstanceEntry& entry);
   void RemoveFromService(const model::InstanceEntry& entry);
   ConnectionNumber StartOpening(const std::string& tenant, Backend& backend, common::Instant now);
-  Backend* Owner(ConnectionNumber number);
-  void ServeControls(Backend& backend, common::Instant now);
+  Backend* BackendOf(ConnectionNumber number);
+  void SendQueuedControls(Backend& backend, common::Instant now);
   void FinishControl(ControlNumber number, const std::optional<model::InstanceStatus>& status,
                      common::Instant now);
   /// Ends a connection whose far end is gone, and tells whom it served.
-  void Lose(Backend& backend, ConnectionNumber number, common::Instant now);
+  void DropLostConnection(Backend& backend, ConnectionNumber number, common::Instant now);
   void ExpireControls(common::Instant now);
   /// Tells whether the instance of a connection that has just opened may have started meanwhile.
   /// To be called before the instance counts as heard.
-  void NoteLife(Backend& backend, common::Instant now);
+  void DetectRestart(Backend& backend, common::Instant now);
   void CheckHealth(Backend& backend, common::Instant now);
   void TrimConnections(Backend& backend, common::Instant now);
-  bool RemoveEnded(Backend& backend, common::Instant now);
+  bool CloseIfTerminated(Backend& backend, common::Instant now);
 
   Outbox& outbox_;
   ConnectionObserver* observer_ = nullptr;
-  warm_up::life_observer* life_observer_ = nullptr;
+  warm_up::life_observer* warm_up_observer_ = nullptr;
   RestartObserver* restart_observer_ = nullptr;
   std::map<std::string, Backend> backends_;
   std::map<std::string, std::vector<std::string>> ids_by_service_;
-  std::map<ConnectionNumber, std::string> owners_;
+  std::map<ConnectionNumber, std::string> backend_ids_by_connection_;
   std::map<ControlNumber, PendingControl> controls_;
   std::map<std::string, std::size_t> limits_;  // by service
   std::set<std::string> watched_;              // services
   std::uint64_t watch_changes_ = 0;
   common::Instant check_due_{0};  // when the instances are looked at next
-  std::size_t most_opening_ = 1'000;
+  std::size_t max_opening_ = 1'000;
 };
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/catalog_state.cc
+++ b/src/proxy/catalog_state.cc
@@ -88,17 +88,18 @@
   const FollowPace slow{settings_.slow_watch_wait};
   const FollowPace rare{settings_.relaxed_watch_wait};
   const FollowPace gathered{settings_.relaxed_watch_wait, settings_.relaxed_pause};
-  const FollowPace on_news{settings_.relaxed_watch_wait, settings_.news_pause, true, true};
-  const FollowPace seldom_news{settings_.seldom_wait, settings_.news_pause, true, true};
-  const FollowPace seldom{settings_.seldom_wait, settings_.relaxed_pause, true, true};
+  const FollowPace on_news{settings_.relaxed_watch_wait, settings_.notified_list_pause, true, true};
+  const FollowPace seldom_news{settings_.notified_watch_wait, settings_.notified_list_pause, true,
+                               true};
+  const FollowPace seldom{settings_.notified_watch_wait, settings_.relaxed_pause, true, true};
   const bool closely = interest.everything || interest.leadership;
   if (!interest.reader) {
-    ForgetProbes();
+    ResetFailedProbes();
   }
-  const FollowPace& distant = interest.informed ? seldom_news : rare;
-  const FollowPace none{settings_.relaxed_watch_wait, settings_.news_pause, false};
-  const FollowPace& unneeded = interest.informed ? none : rare;
-  const FollowPace& needed = interest.informed ? on_news : gathered;
+  const FollowPace& distant = interest.receives_updates ? seldom_news : rare;
+  const FollowPace none{settings_.relaxed_watch_wait, settings_.notified_list_pause, false};
+  const FollowPace& unneeded = interest.receives_updates ? none : rare;
+  const FollowPace& needed = interest.receives_updates ? on_news : gathered;
   const FollowPace& of_instances = interest.instances ? needed : unneeded;
   followers_.at(Collection::kConfiguration).SetPace(closely ? close : distant);
   followers_.at(Collection::kInstances).SetPace(closely ? close : of_instances);
@@ -112,25 +113,25 @@
   followers_.at(Collection::kDaemons).SetPaused(!discovering);
 }
 
-void CatalogState::SetConfigurationSource(bool source) {
+void CatalogState::SetFollowsConfiguration(bool source) {
   followers_.at(Collection::kConfiguration).SetPaused(!source);
   if (!source && !connected_) {
-    NoteConnection();
+    UpdateConnected();
   }
 }
 
-void CatalogState::Forget(Collection collection) {
+void CatalogState::CancelCall(Collection collection) {
   std::erase_if(calls_, [&](const auto& call) { return call.second.collection == collection; });
 }
 
 void CatalogState::DisconnectFollowers() {
   for (const Collection collection : {Collection::kConfiguration, Collection::kInstances}) {
-    Forget(collection);
+    CancelCall(collection);
     followers_.at(collection).Disconnect();
   }
 }
 
-void CatalogState::NoteProbe(bool answered) {
+void CatalogState::OnProbeResult(bool answered) {
   if (answered) {
     // A watch that was under way meanwhile may never be answered.
     if (std::exchange(failed_probes_, 0) > 0) {
@@ -140,64 +141,68 @@
   }
   if (++failed_probes_ == kLostProbes) {
     DisconnectFollowers();
-    NoteConnection();
+    UpdateConnected();
   }
 }
 
-void CatalogState::NoteSeen(Collection collection, const metadata::ReadResult& result) {
+void CatalogState::RecordAnswerRevision(Collection collection, const metadata::ReadResult& result) {
   if (result.status != metadata::ReadStatus::kOk) {
     return;
   }
   const bool removed = std::any_of(result.objects.begin(), result.objects.end(),
                                    [](const model::CatalogObject& object) { return object.gone; });
   if (collection == Collection::kConfiguration) {
-    seen_.configuration = std::max(seen_.configuration, result.revision);
+    answer_revisions_.configuration = std::max(answer_revisions_.configuration, result.revision);
   } else if (collection == Collection::kInstances) {
-    seen_.instances = std::max(seen_.instances, result.revision);
+    answer_revisions_.instances = std::max(answer_revisions_.instances, result.revision);
     // What was removed has no revision of its own that a list would show.
-    known_.instances = removed ? std::max(known_.instances, result.revision) : known_.instances;
+    object_revisions_.instances = removed ? std::max(object_revisions_.instances, result.revision)
+                                          : object_revisions_.instances;
   }
 }
 
 CatalogRevisions CatalogState::Revisions() const {
   // The era alone is news: who hears of it lists anew.
   const model::Revision first = model::FirstOf(era_.Newest());
-  return {std::max({known_.configuration, elsewhere_.configuration, first}),
-          std::max({known_.instances, elsewhere_.instances, first})};
+  return {std::max({object_revisions_.configuration, reported_revisions_.configuration, first}),
+          std::max({object_revisions_.instances, reported_revisions_.instances, first})};
 }
 
-bool CatalogState::Behind() const {
+bool CatalogState::IsBehind() const {
   const bool instances = followers_.at(Collection::kInstances).Followed();
   const bool configuration = followers_.at(Collection::kConfiguration).Followed();
   return (configuration &&
-          std::max(known_.configuration, seen_.configuration) < elsewhere_.configuration) ||
-         (instances && std::max(known_.instances, seen_.instances) < elsewhere_.instances);
+          std::max(object_revisions_.configuration, answer_revisions_.configuration) <
+              reported_revisions_.configuration) ||
+         (instances && std::max(object_revisions_.instances, answer_revisions_.instances) <
+                           reported_revisions_.instances);
 }
 
-void CatalogState::NoteRevisions(const CatalogRevisions& revisions, common::Instant now) {
-  NoteEra(std::max(revisions.configuration.era, revisions.instances.era), "daemon", now);
-  elsewhere_.configuration = std::max(elsewhere_.configuration, revisions.configuration);
-  elsewhere_.instances = std::max(elsewhere_.instances, revisions.instances);
-  followers_.at(Collection::kConfiguration).NoteNews(elsewhere_.configuration);
-  followers_.at(Collection::kInstances).NoteNews(elsewhere_.instances);
-  if (!Behind()) {
+void CatalogState::ApplyRevisions(const CatalogRevisions& revisions, common::Instant now) {
+  ApplyEra(std::max(revisions.configuration.era, revisions.instances.era), "daemon", now);
+  reported_revisions_.configuration =
+      std::max(reported_revisions_.configuration, revisions.configuration);
+  reported_revisions_.instances = std::max(reported_revisions_.instances, revisions.instances);
+  followers_.at(Collection::kConfiguration).NoteNews(reported_revisions_.configuration);
+  followers_.at(Collection::kInstances).NoteNews(reported_revisions_.instances);
+  if (!IsBehind()) {
     behind_since_.reset();
     return;
   }
   if (!behind_since_) {
     behind_since_ = now;
   }
-  if (now < *behind_since_ + kBehindLimit || now < chase_not_before_) {
+  if (now < *behind_since_ + kBehindLimit || now < catch_up_not_before_) {
     return;
   }
-  chase_not_before_ = now + kChasePause;
+  catch_up_not_before_ = now + kChasePause;
   outbox_.Log("watch_overdue",
-              {{"configuration", model::RevisionText(known_.configuration)},
-               {"instances", model::RevisionText(known_.instances)},
-               {"configuration_elsewhere", model::RevisionText(elsewhere_.configuration)},
-               {"instances_elsewhere", model::RevisionText(elsewhere_.instances)}});
+              {{"configuration", model::RevisionText(object_revisions_.configuration)},
+               {"instances", model::RevisionText(object_revisions_.instances)},
+               {"configuration_elsewhere", model::RevisionText(reported_revisions_.configuration)},
+               {"instances_elsewhere", model::RevisionText(reported_revisions_.instances)}});
   for (const Collection collection : {Collection::kConfiguration, Collection::kInstances}) {
-    Forget(collection);
+    CancelCall(collection);
     followers_.at(collection).Abandon();
   }
 }
@@ -222,7 +227,7 @@
     return;
   }
   // A watch that waits for news would be in the way.
-  Forget(Collection::kInstances);
+  CancelCall(Collection::kInstances);
   instances.Abandon();
   instances.Refresh();
 }
@@ -245,8 +250,8 @@
   }
 }
 
-CatalogUpdate CatalogState::Answered(CallNumber call, const metadata::ReadResult& result,
-                                     common::Instant now, double jitter) {
+CatalogUpdate CatalogState::OnAnswered(CallNumber call, const metadata::ReadResult& result,
+                                       common::Instant now, double jitter) {
   CatalogUpdate update;
   const auto found = calls_.find(call);
   if (found == calls_.end()) {
@@ -255,7 +260,7 @@
   const PendingCall answered_call = found->second;
   const Collection collection = answered_call.collection;
   calls_.erase(found);
-  NoteEra(result.revision.era, "store", now);
+  ApplyEra(result.revision.era, "store", now);
   metadata::CollectionFollower& follower = followers_.at(collection);
   const bool was_listed = follower.Listed();
   for (const metadata::CatalogChange& change : follower.Answer(result, now, jitter)) {
@@ -278,11 +283,11 @@
     LogFailure(answered_call, result, now);
   }
   for (std::size_t unnamed = 0; unnamed < result.unnamed; ++unnamed) {
-    NoteUnusable("no_name", "");
+    RecordUnusable("no_name", "");
   }
-  NoteSeen(collection, result);
+  RecordAnswerRevision(collection, result);
   daemons_known_ = daemons_known_ || followers_.at(Collection::kDaemons).Listed();
-  NoteConnection();
+  UpdateConnected();
   return update;
 }
 
@@ -296,7 +301,7 @@
               LogLevel::kWarning);
 }
 
-void CatalogState::NoteEra(std::uint64_t era, const char* source, common::Instant now) {
+void CatalogState::ApplyEra(std::uint64_t era, const char* source, common::Instant now) {
   const CatalogRevisions known = Revisions();
   const std::uint64_t before = era_.Newest();
   if (!era_.Note(era, now)) {
@@ -312,7 +317,7 @@
   behind_since_.reset();
   for (auto& [collection, follower] : followers_) {
     if (follower.BeginEra(era)) {
-      Forget(collection);
+      CancelCall(collection);
     }
   }
 }
@@ -327,12 +332,12 @@
       ++instance;
       continue;
     }
-    update.instances_gone.push_back(instance->first);
+    update.removed_instances.push_back(instance->first);
     instance = instances_.erase(instance);
   }
 }
 
-void CatalogState::NoteConnection() {
+void CatalogState::UpdateConnected() {
   const metadata::CollectionFollower& instances = followers_.at(Collection::kInstances);
   const metadata::CollectionFollower& configuration = followers_.at(Collection::kConfiguration);
   // Who makes no calls counts as connected until one of its calls shows otherwise: it may be chosen
@@ -351,10 +356,10 @@
                          common::Instant now, CatalogUpdate& update) {
   // What a list no longer holds comes with the list's revision, which others need not know.
   if (collection == Collection::kConfiguration && !object.gone) {
-    known_.configuration = std::max(known_.configuration, object.revision);
+    object_revisions_.configuration = std::max(object_revisions_.configuration, object.revision);
   }
   if (collection == Collection::kInstances && !object.gone) {
-    known_.instances = std::max(known_.instances, object.revision);
+    object_revisions_.instances = std::max(object_revisions_.instances, object.revision);
   }
   if (object.gone) {
     if (collection == Collection::kInstances) {
@@ -369,14 +374,14 @@
   }
   if (const auto* configuration = std::get_if<model::Configuration>(&object.payload)) {
     update.configuration =
-        TakeConfiguration(*configuration, "store", object.revision) || update.configuration;
+        ApplyConfiguration(*configuration, "store", object.revision) || update.configuration;
   } else if (const auto* instance = std::get_if<model::InstanceEntry>(&object.payload)) {
     ApplyInstance(*instance, now, update);
   } else if (const auto* unusable = std::get_if<model::UnusableEntry>(&object.payload)) {
     // What the id named before takes no new work, as if its entry had gone: it may serve on, and
     // its own next entry brings it back.
     DropInstance(object.name, update);
-    NoteUnusable(model::EntryDefectName(unusable->defect), object.name);
+    RecordUnusable(model::EntryDefectName(unusable->defect), object.name);
   } else if (const auto* daemon = std::get_if<model::DaemonEntry>(&object.payload)) {
     daemons_[daemon->name] = *daemon;
     daemon_eras_[daemon->name] = object.revision.era;
@@ -410,18 +415,18 @@
     }
   }
   instances_[entry.id] = entry;
-  std::erase(update.instances_gone, entry.id);
+  std::erase(update.removed_instances, entry.id);
   update.instances.push_back(entry);
 }
 
 void CatalogState::DropInstance(const std::string& id, CatalogUpdate& update) {
   if (instances_.erase(id) > 0) {
     std::erase_if(update.instances, [&](const auto& each) { return each.id == id; });
-    update.instances_gone.push_back(id);
+    update.removed_instances.push_back(id);
   }
 }
 
-void CatalogState::NoteUnusable(const std::string& reason, const std::string& name) {
+void CatalogState::RecordUnusable(const std::string& reason, const std::string& name) {
   const std::uint64_t count = ++unusable_entries_[reason];
   // At counts that double: whoever writes bad entries must not fill the log.
   if (std::has_single_bit(count)) {
@@ -433,8 +438,8 @@
   }
 }
 
-bool CatalogState::TakeConfiguration(const model::Configuration& configuration, const char* source,
-                                     const model::Revision& revision) {
+bool CatalogState::ApplyConfiguration(const model::Configuration& configuration, const char* source,
+                                      const model::Revision& revision) {
   if (configuration.version <= configuration_.version) {
     return false;
   }
@@ -447,18 +452,19 @@
   return true;
 }
 
-CatalogUpdate CatalogState::TakeRead(const model::Configuration& configuration,
-                                     const model::Revision& revision, common::Instant now) {
-  NoteEra(revision.era, "store", now);
-  known_.configuration = std::max(known_.configuration, revision);
+CatalogUpdate CatalogState::ApplyConfigurationRead(const model::Configuration& configuration,
+                                                   const model::Revision& revision,
+                                                   common::Instant now) {
+  ApplyEra(revision.era, "store", now);
+  object_revisions_.configuration = std::max(object_revisions_.configuration, revision);
   CatalogUpdate update;
-  update.configuration = TakeConfiguration(configuration, "read", revision);
+  update.configuration = ApplyConfiguration(configuration, "read", revision);
   return update;
 }
 
-CatalogUpdate CatalogState::TakeCopy(const CatalogCopy& copy) {
+CatalogUpdate CatalogState::ApplyCopy(const CatalogCopy& copy) {
   CatalogUpdate update;
-  update.configuration = TakeConfiguration(copy.configuration, "daemon", 0);
+  update.configuration = ApplyConfiguration(copy.configuration, "daemon", 0);
   // The store's own word goes first: a copy only fills what was never listed.
   if (!followers_.at(Collection::kInstances).Listed()) {
     for (const model::InstanceEntry& instance : copy.instances) {
--- a/src/proxy/catalog_state.h
+++ b/src/proxy/catalog_state.h
@@ -35,7 +35,7 @@
 struct CatalogUpdate {
   bool configuration = false;
   std::vector<model::InstanceEntry> instances;
-  std::vector<std::string> instances_gone;
+  std::vector<std::string> removed_instances;
   std::vector<model::DaemonEntry> daemons;
   std::optional<std::pair<model::LeadershipRecord, model::Revision>> leadership;
 };
@@ -51,7 +51,7 @@
     bool reader = false;     // it reads the record for all, and so finds a silent store out
     bool instances = true;   // it connects to instances: must see each that leaves. Who doesn't,
                              // and is informed, asks for none
-    bool informed = false;   // daemons that follow the store closely are heard
+    bool receives_updates = false;  // daemons that follow the store closely are heard
   };
 
   /// Follows the store as closely as is needed. Who is informed makes calls only after
@@ -62,20 +62,20 @@
   void SetDiscovering(bool discovering);
 
   /// Reads the configuration from the store, or leaves it to hubs that do.
-  void SetConfigurationSource(bool source);
+  void SetFollowsConfiguration(bool source);
 
   /// A read of the leadership record was answered, or was not.
-  void NoteProbe(bool answered);
+  void OnProbeResult(bool answered);
 
   /// This daemon reads the record no more: what its reads showed last says nothing by now.
-  void ForgetProbes() { failed_probes_ = 0; }
+  void ResetFailedProbes() { failed_probes_ = 0; }
 
   /// @return the newest revisions that this daemon knows or has heard of.
   CatalogRevisions Revisions() const;
 
   /// Another daemon knows these revisions of the store: a watch that has not brought them for a
   /// while is asked anew.
-  void NoteRevisions(const CatalogRevisions& revisions, common::Instant now);
+  void ApplyRevisions(const CatalogRevisions& revisions, common::Instant now);
 
   /// Reads the list of instances as it is now, unless each change is heard as it comes.
   void RefreshInstances(common::Instant now);
@@ -84,7 +84,7 @@
   void RelistInstances();
 
   /// @return the instant as of which an answer of the store has shown all instances.
-  std::optional<common::Instant> InstancesShownAsOf() const {
+  std::optional<common::Instant> InstancesCompleteAsOf() const {
     return followers_.at(model::Collection::kInstances).ShownAsOf();
   }
 
@@ -95,15 +95,15 @@
   void Tick(common::Instant now);
 
   /// Takes an answer. @param jitter between 0 and 1.
-  CatalogUpdate Answered(CallNumber call, const metadata::ReadResult& result, common::Instant now,
-                         double jitter);
+  CatalogUpdate OnAnswered(CallNumber call, const metadata::ReadResult& result, common::Instant now,
+                           double jitter);
 
   /// Takes the configuration as a read of its own has shown it.
-  CatalogUpdate TakeRead(const model::Configuration& configuration, const model::Revision& revision,
-                         common::Instant now);
+  CatalogUpdate ApplyConfigurationRead(const model::Configuration& configuration,
+                                       const model::Revision& revision, common::Instant now);
 
   /// The store's history is of this era. @param source that tells so: "store" or "daemon".
-  void NoteEra(std::uint64_t era, const char* source, common::Instant now);
+  void ApplyEra(std::uint64_t era, const char* source, common::Instant now);
 
   /// @return the era of the store's history, 0 if the store tells none; rises with each return from
   /// an older copy.
@@ -116,13 +116,13 @@
   bool IsComplete(common::Instant asked) const { return era_.IsComplete(asked); }
 
   /// @return the instant as of which a read that was sent at the given one shows all there was.
-  common::Instant ShownAsOf(common::Instant asked) const { return era_.ShownAsOf(asked); }
+  common::Instant CompleteAsOf(common::Instant asked) const { return era_.ShownAsOf(asked); }
 
   /// @return true if the daemon's entry was seen in the store's present history.
   bool ListsDaemon(const std::string& name) const;
 
   /// Takes another daemon's copy; only what is newer counts.
-  CatalogUpdate TakeCopy(const CatalogCopy& copy);
+  CatalogUpdate ApplyCopy(const CatalogCopy& copy);
 
   /// @return the configuration in force, version 0 if there is none.
   const model::Configuration& Configuration() const { return configuration_; }
@@ -160,21 +160,21 @@
              CatalogUpdate& update);
   void ApplyInstance(const model::InstanceEntry& entry, common::Instant now, CatalogUpdate& update);
   /// Gives up the collection's call, if there is one: its answer counts no more.
-  void Forget(model::Collection collection);
+  void CancelCall(model::Collection collection);
   void LogFailure(const PendingCall& call, const metadata::ReadResult& result, common::Instant now);
   /// Drops what another daemon's copy held and the first list does not.
   void DropUnlisted(const metadata::ReadResult& result, CatalogUpdate& update);
   void DropInstance(const std::string& id, CatalogUpdate& update);
-  void NoteUnusable(const std::string& reason, const std::string& name);
+  void RecordUnusable(const std::string& reason, const std::string& name);
   /// @param revision of the store, 0 if another daemon tells of the configuration.
-  bool TakeConfiguration(const model::Configuration& configuration, const char* source,
-                         const model::Revision& revision);
-  void NoteConnection();
-  void NoteSeen(model::Collection collection, const metadata::ReadResult& result);
+  bool ApplyConfiguration(const model::Configuration& configuration, const char* source,
+                          const model::Revision& revision);
+  void UpdateConnected();
+  void RecordAnswerRevision(model::Collection collection, const metadata::ReadResult& result);
   void DisconnectFollowers();
   void DelayFirstCalls(common::Instant now);
   /// @return true if something is known elsewhere that this daemon follows and lacks.
-  bool Behind() const;
+  bool IsBehind() const;
 
   const ProxySettings& settings_;
   Outbox& outbox_;
@@ -184,15 +184,15 @@
   std::map<std::string, model::InstanceEntry> instances_;
   std::map<std::string, model::DaemonEntry> daemons_;
   std::map<std::string, std::uint64_t> unusable_entries_;
-  CatalogRevisions known_;      // of the newest objects
-  CatalogRevisions elsewhere_;  // highest that others told of
-  CatalogRevisions seen_;       // of the store's newest answers
+  CatalogRevisions object_revisions_;    // of the newest objects
+  CatalogRevisions reported_revisions_;  // highest that others told of
+  CatalogRevisions answer_revisions_;    // of the store's newest answers
   metadata::StoreEra era_;
   std::map<std::string, std::uint64_t> daemon_eras_;  // in which entries were seen last, by name
   std::uint32_t failed_probes_ = 0;                   // in a row
   std::optional<common::Instant> behind_since_;
   bool started_ = false;
-  common::Instant chase_not_before_{0};
+  common::Instant catch_up_not_before_{0};
   bool connected_ = false;
   common::Instant answered_at_{0};
   bool daemons_known_ = false;
--- a/src/proxy/configuration_prover.cc
+++ b/src/proxy/configuration_prover.cc
@@ -55,8 +55,9 @@
   outbox_.Emit(ReadConfiguration{*call_});
 }
 
-bool ConfigurationProver::Read(CallNumber call, const std::optional<std::uint64_t>& version,
-                               const CatalogState& catalog) {
+bool ConfigurationProver::OnReadAnswered(CallNumber call,
+                                         const std::optional<std::uint64_t>& version,
+                                         const CatalogState& catalog) {
   if (call_ != call) {
     return false;
   }
@@ -66,7 +67,7 @@
     outbox_.Log("configuration_read_failed", {}, LogLevel::kWarning);
   } else if (catalog.IsComplete(*asked_at_)) {
     // Else a version that withdrew a key may not have been written again.
-    admission_.proof().note({*version, catalog.ShownAsOf(*asked_at_)});
+    admission_.proof().note({*version, catalog.CompleteAsOf(*asked_at_)});
   }
   return true;
 }
--- a/src/proxy/configuration_prover.h
+++ b/src/proxy/configuration_prover.h
@@ -34,8 +34,8 @@
 
   /// Takes the newest version. @param catalog tells whether the store may lack what was written.
   /// @return true if the call was ours.
-  bool Read(CallNumber call, const std::optional<std::uint64_t>& version,
-            const CatalogState& catalog);
+  bool OnReadAnswered(CallNumber call, const std::optional<std::uint64_t>& version,
+                      const CatalogState& catalog);
 
  private:
   bool IsDue(const Duty& duty, common::Instant now) const;
--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -65,7 +65,7 @@
   void CommandReceived(SessionNumber number, const CallerCommand& command, common::Instant now);
   void SessionClosed(SessionNumber number, common::Instant now);
 
-  void OnAnswer(Backend& backend, Connection& connection, const Outstanding& outstanding,
+  void OnAnswer(Backend& backend, Connection& connection, const OutstandingRequest& outstanding,
                 const model::Reply& reply, common::Instant now) override;
   void OnLost(Backend& backend, Connection& connection, common::Instant now) override;
   void OnCapacity(common::Instant now) override;
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -45,7 +45,7 @@
   std::optional<access::answer> soonest;
   for (const std::string& id : groups_.Members(service)) {
     const Backend& backend = *backends_.Find(id);
-    if (backend.gone_since) {
+    if (backend.unlisted_since) {
       continue;
     }
     const access::answer answer = access_.judge(backend.Entry(), work, now);
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -71,7 +71,7 @@
     Placement at_primary;
     at_primary.instance = primary;
     if (session.transaction.open || !IsWrite(session)) {
-      at_primary.required = groups_.Get(service, now).KnownOfPrimary();
+      at_primary.required = groups_.Get(service, now).PrimaryPosition();
     }
     return {at_primary};
   }
@@ -158,7 +158,7 @@
   const common::Duration longest_wait = operation.hold_until - operation.arrived;
   if (now >= operation.arrived + longest_wait * kCrowdedOutAfter / kCrowdedOutOf) {
     for (const Placement& place : places) {
-      backends_.Find(place.instance)->NoteCrowdedOut(UrgencyOf(operation.route), now);
+      backends_.Find(place.instance)->OnStarved(UrgencyOf(operation.route), now);
     }
   }
   return false;
@@ -166,8 +166,8 @@
 
 bool Dispatcher::TakesStatement(const Backend& backend, const Operation& operation,
                                 common::Instant now) const {
-  return backend.HasRoom() && now >= backend.AvoidUntil() &&
-         !backend.LeftToImpatient(UrgencyOf(operation.route), now);
+  return backend.HasCapacity() && now >= backend.AvoidUntil() &&
+         !backend.ReservedForMoreUrgent(UrgencyOf(operation.route), now);
 }
 
 bool Dispatcher::AwaitsConnection(const Operation& operation, common::Instant now) {
@@ -298,8 +298,9 @@
   }
 }
 
-void Dispatcher::OnAnswer(Backend& backend, Connection& connection, const Outstanding& outstanding,
-                          const model::Reply& reply, common::Instant now) {
+void Dispatcher::OnAnswer(Backend& backend, Connection& connection,
+                          const OutstandingRequest& outstanding, const model::Reply& reply,
+                          common::Instant now) {
   Session* session = Find(*connection.session);
   const bool expected = session != nullptr && session->operation &&
                         session->operation->connection == connection.number;
@@ -308,8 +309,8 @@
     return;
   }
   if (reply.position) {
-    groups_.NotePosition(backend.Entry().service, backend.Entry().id, *reply.position,
-                         outstanding.sent);
+    groups_.RecordPosition(backend.Entry().service, backend.Entry().id, *reply.position,
+                           outstanding.sent);
   }
   if (outstanding.purpose == Purpose::kPreparation) {
     AnswerToPreparation(*session, backend, connection, reply, now);
@@ -370,13 +371,13 @@
 void Dispatcher::Succeeded(Session& session, Backend& backend, Connection& connection,
                            const model::Reply& reply, common::Instant now) {
   Operation& operation = *session.operation;
-  backend.NoteSuccess(now - operation.sent);
+  backend.RecordLatency(now - operation.sent);
   if (operation.required) {
-    backend.NoteFresh(operation.required_age, now);
+    backend.OnFreshRead(operation.required_age, now);
   }
   const bool commits = MayHaveCommitted(session);
   if (commits) {
-    groups_.NoteWriteAnswered(operation.route.service, operation.instance);
+    groups_.OnWriteAnswered(operation.route.service, operation.instance);
   }
   if (commits && reply.position) {
     session.own_commit = *reply.position;
@@ -405,13 +406,13 @@
   const std::string& instance = backend.Entry().id;
   const model::ErrorCode code = reply.error;
   if (code == model::ErrorCode::kLagging) {
-    backend.NoteLagging(operation.required_age, !operation.required_own, now);
+    backend.OnLaggingRead(operation.required_age, !operation.required_own, now);
   }
   if (code == model::ErrorCode::kBusy) {
-    backend.NoteBusy(now);
+    backend.OnBusy(now);
   }
   if (code == model::ErrorCode::kReadOnly) {
-    groups_.Get(operation.route.service, now).round_at = common::Instant(0);
+    groups_.Get(operation.route.service, now).last_round_at = common::Instant(0);
   }
   const bool first = !session.transaction.open || !session.transaction.ran;
   if (first && model::PromisesNothingKept(code) && operation.attempts < kMostAttempts) {
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -125,7 +125,7 @@
 void Dispatcher::NoteUnansweredWrites(common::Instant now) {
   // Of 1,000 groups few have a write on its way: those of the last time alone can have one noted.
   for (const std::string& service : std::exchange(unanswered_in_, {})) {
-    groups_.Get(service, now).write_sent.reset();
+    groups_.Get(service, now).oldest_unanswered_write.reset();
   }
   for (const auto& [number, session] : sessions_) {
     if (!session.operation || !MayHaveCommitted(session)) {
@@ -134,9 +134,10 @@
     const Operation& operation = *session.operation;
     GroupState& group = groups_.Get(operation.route.service, now);
     const bool at_primary = operation.instance == group.lease.Newest().primary;
-    if (at_primary && (!group.write_sent || operation.sent < *group.write_sent)) {
+    if (at_primary &&
+        (!group.oldest_unanswered_write || operation.sent < *group.oldest_unanswered_write)) {
       unanswered_in_.insert(operation.route.service);
-      group.write_sent = operation.sent;
+      group.oldest_unanswered_write = operation.sent;
     }
   }
 }
--- a/src/proxy/failover_driver.cc
+++ b/src/proxy/failover_driver.cc
@@ -53,8 +53,8 @@
       outbox_(outbox),
       leadership_(HolderName(settings)) {}
 
-void FailoverDriver::RecordSeen(const model::LeadershipRecord& record,
-                                const model::Revision& revision, common::Instant now) {
+void FailoverDriver::OnRecordRead(const model::LeadershipRecord& record,
+                                  const model::Revision& revision, common::Instant now) {
   const std::string before = leadership_.Holder();
   leadership_.Seen(record, revision, now);
   if (leadership_.Holder() != before) {
@@ -64,15 +64,15 @@
   }
 }
 
-void FailoverDriver::MemberRestarted(const model::InstanceEntry& entry, common::Instant now) {
+void FailoverDriver::OnMemberRestarted(const model::InstanceEntry& entry, common::Instant now) {
   const auto attempt = attempts_.find(entry.service);
   if (attempt != attempts_.end()) {
     attempt->second->MemberRestarted(entry.id, now);
   }
 }
 
-void FailoverDriver::RecordWritten(CallNumber call, const failover::WriteResult& result,
-                                   common::Instant now) {
+void FailoverDriver::OnRecordWritten(CallNumber call, const failover::WriteResult& result,
+                                     common::Instant now) {
   const auto write = record_writes_.find(call);
   if (write == record_writes_.end()) {
     return;
@@ -90,8 +90,8 @@
   }
 }
 
-void FailoverDriver::Promoted(CallNumber call, failover::PromotionStatus status,
-                              common::Instant now) {
+void FailoverDriver::OnPromotionAnswered(CallNumber call, failover::PromotionStatus status,
+                                         common::Instant now) {
   const auto promotion = promotions_.find(call);
   if (promotion == promotions_.end()) {
     return;
@@ -107,16 +107,16 @@
   static_cast<void>(now);
 }
 
-bool FailoverDriver::LooksAt(const std::string& service, bool all) const {
-  return all || attempts_.contains(service) || wishes_.contains(service);
+bool FailoverDriver::ShouldEvaluate(const std::string& service, bool all) const {
+  return all || attempts_.contains(service) || pending_replacements_.contains(service);
 }
 
-bool FailoverDriver::LostToMany(const GroupState& group, common::Instant now) const {
-  if (!group.lost && !any_primary_lost_) {
+bool FailoverDriver::IsSuspectedByEnough(const GroupState& group, common::Instant now) const {
+  if (!group.primary_suspected && !any_primary_suspected_) {
     return false;
   }
   std::size_t live = group.watched ? 1 : 0;
-  std::size_t lost = group.lost ? 1 : 0;
+  std::size_t lost = group.primary_suspected ? 1 : 0;
   for (const auto& [address, peer] : peers_.All()) {
     const bool judges = roles_.watches(group.service, peer.name);
     if (!judges || !peers_.Alive(peer, now) || peer.last.stopping) {
@@ -126,7 +126,7 @@
     const auto report =
         std::find_if(peer.last.groups.begin(), peer.last.groups.end(),
                      [&](const GroupReport& each) { return each.service == group.service; });
-    if (report != peer.last.groups.end() && report->primary_lost) {
+    if (report != peer.last.groups.end() && report->primary_suspected) {
       ++lost;
     }
   }
@@ -135,16 +135,17 @@
   return lost >= needed;
 }
 
-FailoverDriver::Need FailoverDriver::NeedOfFitness(const GroupState& group, const Backend& primary,
-                                                   common::Instant now) const {
+FailoverDriver::ReplacementCause FailoverDriver::FitnessCause(const GroupState& group,
+                                                              const Backend& primary,
+                                                              common::Instant now) const {
   const access::leader_answer present = access_.judge_leader(primary.Entry(), now);
   if (present.fitness == model::LeaderFitness::kFit) {
     return {};
   }
   for (const std::string& id : groups_.Members(group.service)) {
     const Backend& other = backends_.All().at(id);
-    const bool usable = !other.Unreachable() && !other.Silent(now) && !other.gone_since &&
-                        !other.draining_since && id != primary.Entry().id;
+    const bool usable = !other.Unreachable() && !other.IsUnresponsive(now) &&
+                        !other.unlisted_since && !other.draining_since && id != primary.Entry().id;
     if (usable && access_.judge_leader(other.Entry(), now).fitness > present.fitness) {
       return {present.reason, present.fitness};
     }
@@ -152,8 +153,9 @@
   return {};
 }
 
-FailoverDriver::Need FailoverDriver::NeedOf(const GroupState& group, common::Instant now) const {
-  if (LostToMany(group, now)) {
+FailoverDriver::ReplacementCause FailoverDriver::CauseOf(const GroupState& group,
+                                                         common::Instant now) const {
+  if (IsSuspectedByEnough(group, now)) {
     return {"lost", {}};
   }
   const auto primary = backends_.All().find(group.lease.Newest().primary);
@@ -164,11 +166,11 @@
     return {"draining", {}};
   }
   const bool unlisted =
-      primary->second.gone_since && now >= *primary->second.gone_since + kUnlistedLimit;
-  return unlisted ? Need{"unlisted", {}} : NeedOfFitness(group, primary->second, now);
+      primary->second.unlisted_since && now >= *primary->second.unlisted_since + kUnlistedLimit;
+  return unlisted ? ReplacementCause{"unlisted", {}} : FitnessCause(group, primary->second, now);
 }
 
-bool FailoverDriver::IsTurn(const Wish& wish, common::Instant now) const {
+bool FailoverDriver::IsTurn(const PendingReplacement& wish, common::Instant now) const {
   if (!roles_.coordinates()) {
     return false;
   }
@@ -191,7 +193,7 @@
 
 failover::GroupView FailoverDriver::ViewOf(const GroupState& group, const model::Service& service,
                                            const RegisteredDaemons& registered,
-                                           common::Term new_term, const Need& need,
+                                           common::Term new_term, const ReplacementCause& need,
                                            common::Instant now) const {
   failover::GroupView view;
   view.service = group.service;
@@ -204,22 +206,23 @@
     const bool counted =
         id == view.primary || std::find(replicas.begin(), replicas.end(), id) != replicas.end();
     view.members.push_back({id, backend.draining_since.has_value(),
-                            !backend.Unreachable() && !backend.Silent(now), !counted,
-                            backend.gone_since.has_value(),
+                            !backend.Unreachable() && !backend.IsUnresponsive(now), !counted,
+                            backend.unlisted_since.has_value(),
                             access_.judge_leader(backend.Entry(), now).fitness});
   }
   view.one_fence_is_enough = !settings_.mechanisms.enough_fences;
-  view.floor = group.floor;
-  view.lost_logs = group.lost_logs.size();
-  view.known_replicas = KnownReplicas(group.service, now);
-  view.unreleased = Unreleased(group.service, registered, new_term, now);
+  view.floor = group.minimum_position;
+  view.lost_logs = group.log_loss_times.size();
+  view.known_replicas = MaxReportedReplicas(group.service, now);
+  view.unreleased = UnreleasedDaemons(group.service, registered, new_term, now);
   view.better_than = need.better_than;
   return view;
 }
 
-std::set<std::string> FailoverDriver::Unreleased(const std::string& service,
-                                                 const RegisteredDaemons& registered,
-                                                 common::Term new_term, common::Instant now) const {
+std::set<std::string> FailoverDriver::UnreleasedDaemons(const std::string& service,
+                                                        const RegisteredDaemons& registered,
+                                                        common::Term new_term,
+                                                        common::Instant now) const {
   std::set<std::string> daemons;
   for (const auto& [name, daemon] : registered) {
     daemons.insert(name);
@@ -245,7 +248,8 @@
   return daemons;
 }
 
-std::size_t FailoverDriver::KnownReplicas(const std::string& service, common::Instant now) const {
+std::size_t FailoverDriver::MaxReportedReplicas(const std::string& service,
+                                                common::Instant now) const {
   std::size_t most = 0;
   for (const auto& [address, peer] : peers_.All()) {
     // Who does not connect to the instances does not learn that one has ended.
@@ -253,7 +257,7 @@
       continue;
     }
     for (const GroupReport& report : peer.last.groups) {
-      most = report.service == service ? std::max(most, report.replicas) : most;
+      most = report.service == service ? std::max(most, report.replica_count) : most;
     }
   }
   return most;
@@ -264,18 +268,18 @@
                           common::Instant now) {
   store_connected_ = store_connected;
   if (!roles_.coordinates() && attempts_.empty()) {
-    wishes_.clear();
+    pending_replacements_.clear();
     return;
   }
-  const bool all = now >= look_due_;
+  const bool all = now >= evaluation_due_;
   if (all) {
-    look_due_ = now + kLookInterval;
-    any_primary_lost_ = peers_.AnyPrimaryLost(now);
-  } else if (attempts_.empty() && wishes_.empty()) {
+    evaluation_due_ = now + kLookInterval;
+    any_primary_suspected_ = peers_.AnyPrimarySuspected(now);
+  } else if (attempts_.empty() && pending_replacements_.empty()) {
     return;
   }
   for (const auto& [name, service] : configuration.services) {
-    GroupState* group = LooksAt(name, all) ? groups_.Find(name) : nullptr;
+    GroupState* group = ShouldEvaluate(name, all) ? groups_.Find(name) : nullptr;
     if (group == nullptr) {
       continue;
     }
@@ -283,16 +287,17 @@
       AdvanceAttempt(name, configuration, registered, now);
       continue;
     }
-    const Need need = NeedOf(*group, now);
+    const ReplacementCause need = CauseOf(*group, now);
     if (need.reason.empty()) {
-      wishes_.erase(name);
+      pending_replacements_.erase(name);
       DropStaleEntry(*group, now);
       continue;
     }
-    Wish& wish = wishes_.try_emplace(name, Wish{now, need}).first->second;
-    wish.need = need;
+    PendingReplacement& wish =
+        pending_replacements_.try_emplace(name, PendingReplacement{now, need}).first->second;
+    wish.cause = need;
     const bool allowed = store_connected && now >= not_before_[name] && IsTurn(wish, now) &&
-                         now >= group->known_since + kAcquaintance && group->members_known &&
+                         now >= group->observed_since + kAcquaintance && group->members_known &&
                          !(need.better_than && now < planned_pauses_[name].until);
     if (!allowed) {
       continue;
@@ -300,7 +305,7 @@
     const failover::GroupView view = ViewOf(*group, service, registered, 0, need, now);
     if (!failover::Attempt::Feasible(view)) {
       not_before_[name] = now + kInfeasiblePause;
-      TellInfeasible(view, need.reason);
+      LogInfeasible(view, need.reason);
       continue;
     }
     outbox_.Log("failover_started", {{"service", name},
@@ -312,7 +317,7 @@
   }
 }
 
-void FailoverDriver::TellInfeasible(const failover::GroupView& view, const std::string& reason) {
+void FailoverDriver::LogInfeasible(const failover::GroupView& view, const std::string& reason) {
   const failover::FenceCount fences = failover::Attempt::FencesOf(view);
   std::string away;
   for (const failover::MemberView& member : view.members) {
@@ -357,8 +362,8 @@
   GroupState& group = *groups_.Find(service);
   const failover::GroupView view =
       ViewOf(group, configuration.services.at(service), registered, attempt.ReplacedTerm() + 1,
-             wishes_.at(service).need, now);
-  Perform(group, attempt.Advance(view, now), now);
+             pending_replacements_.at(service).cause, now);
+  ExecuteAll(group, attempt.Advance(view, now), now);
   if (!attempt.Ended()) {
     return;
   }
@@ -367,19 +372,20 @@
                                  {"outcome", failover::StepName(attempt.CurrentStep())},
                                  {"candidate", attempt.Candidate()}});
   not_before_[service] = now + (finished ? kSettledPause : kRetryPause);
-  NotePlanned(service, finished, now);
+  RecordPlannedResult(service, finished, now);
   group.fence_below = finished ? 0 : group.fence_below;
-  groups_.AskNow(service, now);
-  wishes_.erase(service);
+  groups_.StartRoundNow(service, now);
+  pending_replacements_.erase(service);
   attempts_.erase(service);
 }
 
-void FailoverDriver::NotePlanned(const std::string& service, bool finished, common::Instant now) {
+void FailoverDriver::RecordPlannedResult(const std::string& service, bool finished,
+                                         common::Instant now) {
   if (finished) {
     planned_pauses_.erase(service);
     return;
   }
-  if (!wishes_.at(service).need.better_than) {
+  if (!pending_replacements_.at(service).cause.better_than) {
     return;
   }
   PlannedPause& pause = planned_pauses_[service];
@@ -387,8 +393,9 @@
   pause.until = now + pause.length;
 }
 
-void FailoverDriver::Perform(GroupState& group, const std::vector<failover::AttemptAction>& actions,
-                             common::Instant now) {
+void FailoverDriver::ExecuteAll(GroupState& group,
+                                const std::vector<failover::AttemptAction>& actions,
+                                common::Instant now) {
   for (const failover::AttemptAction& action : actions) {
     std::visit([&](const auto& each) { Do(group, each, now); }, action);
   }
@@ -414,14 +421,14 @@
       attempt->second->ControlAnswered(action.instance, action.request, status, at);
     }
   };
-  backends_.Control(action.instance, action.request, answered, now);
+  backends_.QueueControlRequest(action.instance, action.request, answered, now);
 }
 
 void FailoverDriver::Do(GroupState& group, const failover::AnnounceFence& action,
                         common::Instant now) {
   group.fence_below = action.replaced_term + 1;
-  groups_.ReleaseBelow(group, group.fence_below);
-  urgent_ = true;
+  groups_.ReleaseTermsBelow(group, group.fence_below);
+  fence_announced_ = true;
   static_cast<void>(now);
 }
 
--- a/src/proxy/failover_driver.h
+++ b/src/proxy/failover_driver.h
@@ -33,31 +33,31 @@
                  const membership::live_view& view, const relay::role_map& roles, Outbox& outbox);
 
   /// Takes the leadership record as the store has it. @param revision of number 0 if there is none.
-  void RecordSeen(const model::LeadershipRecord& record, const model::Revision& revision,
-                  common::Instant now);
+  void OnRecordRead(const model::LeadershipRecord& record, const model::Revision& revision,
+                    common::Instant now);
 
   /// The store's history is of this era now: claims of an earlier one are gone from it.
   void BeginEra(std::uint64_t era, common::Instant now) { leadership_.BeginEra(era, now); }
 
   /// An instance has started again under its id: it holds nothing that attempts know of it.
-  void MemberRestarted(const model::InstanceEntry& entry, common::Instant now);
+  void OnMemberRestarted(const model::InstanceEntry& entry, common::Instant now);
 
-  void RecordWritten(CallNumber call, const failover::WriteResult& result, common::Instant now);
-  void Promoted(CallNumber call, failover::PromotionStatus status, common::Instant now);
+  void OnRecordWritten(CallNumber call, const failover::WriteResult& result, common::Instant now);
+  void OnPromotionAnswered(CallNumber call, failover::PromotionStatus status, common::Instant now);
 
   /// @param configuration in force. @param registered all daemons in the store.
   void Tick(const model::Configuration& configuration, const RegisteredDaemons& registered,
             bool store_connected, common::Instant now);
 
   /// @return true if an attempt is in progress here.
-  bool Active() const { return !attempts_.empty(); }
+  bool HasAttempts() const { return !attempts_.empty(); }
 
   /// @return true since the last call if the other daemons should hear of a fence at once.
-  bool TakeUrgent() { return std::exchange(urgent_, false); }
+  bool ConsumeFenceAnnounced() { return std::exchange(fence_announced_, false); }
 
  private:
   /// Why a primary should be replaced.
-  struct Need {
+  struct ReplacementCause {
     std::string reason;  // empty: it should not
     /// Of a replacement that is worth nothing unless the new primary suits better than this.
     std::optional<model::LeaderFitness> better_than;
@@ -68,29 +68,31 @@
     common::Instant until{0};
   };
   /// Notes how an attempt ended, for the pause before the next replacement by plan.
-  void NotePlanned(const std::string& service, bool finished, common::Instant now);
-  struct Wish {
+  void RecordPlannedResult(const std::string& service, bool finished, common::Instant now);
+  struct PendingReplacement {
     common::Instant since{0};
-    Need need;
+    ReplacementCause cause;
   };
 
-  Need NeedOf(const GroupState& group, common::Instant now) const;
+  ReplacementCause CauseOf(const GroupState& group, common::Instant now) const;
   /// @return the need that follows from how well the primary suits, if another suits better.
-  Need NeedOfFitness(const GroupState& group, const Backend& primary, common::Instant now) const;
+  ReplacementCause FitnessCause(const GroupState& group, const Backend& primary,
+                                common::Instant now) const;
   /// @return true if the service is to be looked at now: while it is replaced, or is to be, at
   /// once.
-  bool LooksAt(const std::string& service, bool all) const;
-  bool LostToMany(const GroupState& group, common::Instant now) const;
-  bool IsTurn(const Wish& wish, common::Instant now) const;
+  bool ShouldEvaluate(const std::string& service, bool all) const;
+  bool IsSuspectedByEnough(const GroupState& group, common::Instant now) const;
+  bool IsTurn(const PendingReplacement& wish, common::Instant now) const;
   failover::GroupView ViewOf(const GroupState& group, const model::Service& service,
                              const RegisteredDaemons& registered, common::Term new_term,
-                             const Need& need, common::Instant now) const;
+                             const ReplacementCause& need, common::Instant now) const;
   /// @return the daemons that may hold a lease of a term below, and have not said that they let go.
-  std::set<std::string> Unreleased(const std::string& service, const RegisteredDaemons& registered,
-                                   common::Term new_term, common::Instant now) const;
-  std::size_t KnownReplicas(const std::string& service, common::Instant now) const;
-  void Perform(GroupState& group, const std::vector<failover::AttemptAction>& actions,
-               common::Instant now);
+  std::set<std::string> UnreleasedDaemons(const std::string& service,
+                                          const RegisteredDaemons& registered,
+                                          common::Term new_term, common::Instant now) const;
+  std::size_t MaxReportedReplicas(const std::string& service, common::Instant now) const;
+  void ExecuteAll(GroupState& group, const std::vector<failover::AttemptAction>& actions,
+                  common::Instant now);
   void Do(GroupState& group, const failover::SendControl& action, common::Instant now);
   void Do(GroupState& group, const failover::AnnounceFence& action, common::Instant now);
   void Do(GroupState& group, const failover::WriteRecord& action, common::Instant now);
@@ -98,7 +100,7 @@
   void Do(GroupState& group, const failover::AttemptNote& action, common::Instant now);
   /// Takes a replacement that never came about out of the leadership record.
   /// Logs which replicas a replacement waits for.
-  void TellInfeasible(const failover::GroupView& view, const std::string& reason);
+  void LogInfeasible(const failover::GroupView& view, const std::string& reason);
   void DropStaleEntry(GroupState& group, common::Instant now);
   void AdvanceAttempt(const std::string& service, const model::Configuration& configuration,
                       const RegisteredDaemons& registered, common::Instant now);
@@ -113,15 +115,15 @@
   Outbox& outbox_;
   failover::Leadership leadership_;
   std::map<std::string, std::unique_ptr<failover::Attempt>> attempts_;  // by service
-  std::map<std::string, Wish> wishes_;                                  // by service
+  std::map<std::string, PendingReplacement> pending_replacements_;      // by service
   std::map<std::string, common::Instant> not_before_;                   // by service
   std::map<std::string, PlannedPause> planned_pauses_;                  // by service
   std::map<CallNumber, std::string> record_writes_;                     // service by call
   std::map<CallNumber, std::string> promotions_;                        // service by call
-  common::Instant look_due_{0};
-  bool any_primary_lost_ = false;  // to some live daemon, at the last look
+  common::Instant evaluation_due_{0};
+  bool any_primary_suspected_ = false;  // to some live daemon, at the last look
   bool store_connected_ = false;
-  bool urgent_ = false;
+  bool fence_announced_ = false;
 };
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/group_set.cc
+++ b/src/proxy/group_set.cc
@@ -33,8 +33,8 @@
   const auto [found, added] = groups_.try_emplace(service);
   if (added) {
     found->second.service = service;
-    found->second.known_since = now;
-    found->second.lease_held_at = now;
+    found->second.observed_since = now;
+    found->second.lease_last_held_at = now;
     watched_.push_back(&found->second);  // until the next look
   }
   return found->second;
@@ -48,7 +48,7 @@
 std::vector<std::string> GroupSet::Members(const std::string& service) const {
   std::vector<std::string> members;
   for (const std::string& id : backends_.IdsOf(service)) {
-    if (!backends_.IsSucceeded(backends_.All().at(id))) {
+    if (!backends_.HasSuccessor(backends_.All().at(id))) {
       members.push_back(id);
     }
   }
@@ -67,30 +67,32 @@
   return state->lease.Newest().primary;
 }
 
-void GroupSet::NotePosition(const std::string& service, const std::string& instance,
-                            const common::Position& position, common::Instant sent) {
+void GroupSet::RecordPosition(const std::string& service, const std::string& instance,
+                              const common::Position& position, common::Instant sent) {
   GroupState* state = Find(service);
   if (state == nullptr) {
     return;
   }
   const group::Confirmation& newest = state->lease.Newest();
   // A primary that has started again under its id, with nothing, says less than it said before.
-  const std::optional<common::Position> known = state->KnownOfPrimary();
-  const bool believed = !settings_.mechanisms.instance_lives || !known || *known <= position;
+  const std::optional<common::Position> known = state->PrimaryPosition();
+  const bool believed = !settings_.mechanisms.instance_incarnations || !known || *known <= position;
   if (believed && instance == newest.primary && state->lease.HeldAt(sent, newest.term)) {
     state->history.Add({sent, position});
     state->sampled_term = newest.term;
   }
 }
 
-bool GroupSet::HasEnded(const Backend& backend, common::Instant now) {
-  return backend.gone_since && backend.Unreachable() && now >= *backend.gone_since + kDepartedLimit;
+bool GroupSet::HasTerminated(const Backend& backend, common::Instant now) {
+  return backend.unlisted_since && backend.Unreachable() &&
+         now >= *backend.unlisted_since + kDepartedLimit;
 }
 
-std::vector<std::string> GroupSet::Present(const std::string& service, common::Instant now) const {
+std::vector<std::string> GroupSet::QuorumMembers(const std::string& service,
+                                                 common::Instant now) const {
   std::vector<std::string> present;
   for (const std::string& id : Members(service)) {
-    if (!HasEnded(backends_.All().at(id), now)) {
+    if (!HasTerminated(backends_.All().at(id), now)) {
       present.push_back(id);
     }
   }
@@ -103,8 +105,8 @@
   for (const std::string& id : Members(service)) {
     const Backend& backend = backends_.All().at(id);
     // A replica whose end is not covered yet may hold a commit that nobody else has.
-    const bool covered = group != groups_.end() && group->second.departed.contains(id);
-    const bool departed = covered && HasEnded(backend, now);
+    const bool covered = group != groups_.end() && group->second.covered_terminations.contains(id);
+    const bool departed = covered && HasTerminated(backend, now);
     const bool leads = group != groups_.end() && id == PrimaryHint(group->second);
     if (!departed && !leads) {
       replicas.push_back(id);
@@ -125,39 +127,39 @@
   return "";
 }
 
-void GroupSet::AskNow(const std::string& service, common::Instant now) {
+void GroupSet::StartRoundNow(const std::string& service, common::Instant now) {
   if (GroupState* state = Find(service)) {
     StartRound(*state, now);
   }
 }
 
-bool GroupSet::TakeReports(const PeerMessage& message,
-                           std::optional<common::Instant> counted_from) {
+bool GroupSet::ApplyReports(const PeerMessage& message,
+                            std::optional<common::Instant> counted_from) {
   bool released = false;
   for (const GroupReport& report : message.groups) {
     GroupState* state = Find(report.service);
     if (state == nullptr) {
       continue;
     }
-    state->floor = std::max(state->floor, report.floor);
+    state->minimum_position = std::max(state->minimum_position, report.minimum_position);
     state->observed_fence = std::max(state->observed_fence, report.fence_below);
-    released = ReleaseBelow(*state, report.fence_below) || released;
+    released = ReleaseTermsBelow(*state, report.fence_below) || released;
     if (!counted_from || !report.confirmation_age) {
       continue;
     }
     const common::Term before = state->lease.Newest().term;
     state->lease.Renew({report.term, report.primary, *counted_from - *report.confirmation_age});
     if (state->lease.Newest().term > before) {
-      state->writes_stalled.reset();
-      state->led_since = *counted_from;
+      state->writes_stalled_since.reset();
+      state->term_learned_at = *counted_from;
       outbox_.Log("primary_learned", {{"service", report.service},
                                       {"primary", report.primary},
                                       {"term", std::to_string(report.term)},
                                       {"from", message.name}});
     }
     if (report.sample_age) {
-      NotePosition(report.service, report.primary, report.sample,
-                   *counted_from - *report.sample_age);
+      RecordPosition(report.service, report.primary, report.sample,
+                     *counted_from - *report.sample_age);
     }
   }
   return released;
@@ -174,12 +176,12 @@
     const bool asked_since = newest.started >= record_complete_from_;
     if (newest.term != 0 && !begun && asked_since) {
       state.lease.Renew({newest.term, newest.primary, asked});
-      confirmed_ = true;
+      lease_renewed_ = true;
     }
   }
 }
 
-common::Duration GroupSet::OldestConfirmation(common::Instant now) const {
+common::Duration GroupSet::OldestLeaseAge(common::Instant now) const {
   common::Duration oldest{0};
   for (const GroupState* state : watched_) {
     if (state->lease.Newest().term != 0) {
@@ -189,10 +191,10 @@
   return oldest;
 }
 
-void GroupSet::NoteWriteAnswered(const std::string& service, const std::string& instance) {
+void GroupSet::OnWriteAnswered(const std::string& service, const std::string& instance) {
   GroupState* state = Find(service);
   if (state != nullptr && instance == state->lease.Newest().primary) {
-    state->writes_stalled.reset();
+    state->writes_stalled_since.reset();
   }
 }
 
@@ -202,14 +204,15 @@
     return false;
   }
   const GroupState& state = found->second;
-  const bool waiting = state.write_sent && now >= *state.write_sent + kStallSuspicion;
-  return waiting || (state.writes_stalled && state.write_sent);
+  const bool waiting =
+      state.oldest_unanswered_write && now >= *state.oldest_unanswered_write + kStallSuspicion;
+  return waiting || (state.writes_stalled_since && state.oldest_unanswered_write);
 }
 
 std::vector<GroupReport> GroupSet::Reports(bool all, common::Instant now) const {
   std::vector<GroupReport> reports;
   for (const auto& [service, state] : groups_) {
-    const bool troubled = Troubled(state, now);
+    const bool troubled = IsDegraded(state, now);
     if (!all && !troubled) {
       continue;
     }
@@ -226,10 +229,10 @@
         report.sample = sample->position;
       }
     }
-    report.floor = state.floor;
-    report.replicas = Replicas(service, now).size();
-    report.primary_lost = state.lost;
-    report.troubled = troubled;
+    report.minimum_position = state.minimum_position;
+    report.replica_count = Replicas(service, now).size();
+    report.primary_suspected = state.primary_suspected;
+    report.degraded = troubled;
     report.fence_below = state.fence_below;
     report.released_below = state.lease.ReleasedTerm() + 1;
     reports.push_back(std::move(report));
@@ -237,9 +240,9 @@
   return reports;
 }
 
-bool GroupSet::Troubled(const GroupState& state, common::Instant now) {
+bool GroupSet::IsDegraded(const GroupState& state, common::Instant now) {
   const bool released = state.lease.ReleasedTerm() >= state.lease.Newest().term;
-  if (state.lost || state.fence_below > 0 || state.floor.lsn > 0) {
+  if (state.primary_suspected || state.fence_below > 0 || state.minimum_position.lsn > 0) {
     return true;
   }
   // Who doesn't watch the group is not told of its lease, and misses nothing.
@@ -247,7 +250,7 @@
   return state.watched ? released || !state.lease.Holds(now) : released && had_a_lease;
 }
 
-bool GroupSet::ReleaseBelow(GroupState& state, common::Term term) {
+bool GroupSet::ReleaseTermsBelow(GroupState& state, common::Term term) {
   if (term == 0 || state.lease.ReleasedTerm() + 1 >= term) {
     return false;
   }
@@ -266,7 +269,7 @@
 }
 
 std::vector<std::string> GroupSet::RoundTargets(GroupState& state, bool all, common::Instant now) {
-  const std::vector<std::string> members = Present(state.service, now);
+  const std::vector<std::string> members = QuorumMembers(state.service, now);
   if (all || state.lease.Newest().term == 0) {
     return members;
   }
@@ -274,7 +277,8 @@
   std::vector<std::string> far;
   for (const std::string& id : members) {
     const Backend* backend = backends_.Find(id);
-    const bool usable = !backend->Unreachable() && !backend->Silent(now) && !backend->gone_since;
+    const bool usable =
+        !backend->Unreachable() && !backend->IsUnresponsive(now) && !backend->unlisted_since;
     if (id == state.lease.Newest().primary || !usable) {
       continue;
     }
@@ -291,13 +295,13 @@
   return targets;
 }
 
-void GroupSet::NoteMembersKnown(common::Instant as_of) {
+void GroupSet::RecordMembersKnown(common::Instant as_of) {
   for (GroupState* state : watched_) {
     state->members_known = state->members_known || as_of >= state->watched_since;
   }
 }
 
-bool GroupSet::LacksMembers() const {
+bool GroupSet::MembersIncomplete() const {
   return std::any_of(watched_.begin(), watched_.end(),
                      [](const GroupState* state) { return !state->members_known; });
 }
@@ -306,10 +310,11 @@
   if (!state.members_known) {
     return;
   }
-  state.round_at = now;
+  state.last_round_at = now;
   const bool old = now >= state.lease.Newest().started + kAskAllAge;
   const std::vector<std::string> targets = RoundTargets(state, old, now);
-  const group::RoundNumber round = state.lease.StartRound(Present(state.service, now).size(), now);
+  const group::RoundNumber round =
+      state.lease.StartRound(QuorumMembers(state.service, now).size(), now);
   const std::string service = state.service;
   for (const std::string& id : targets) {
     const auto answered = [this, service, id, round, now](
@@ -320,26 +325,26 @@
       }
       const group::Confirmation before = group->lease.Newest();
       if (group->lease.Answer(round, id, *status)) {
-        confirmed_ = true;
+        lease_renewed_ = true;
         if (group->lease.Newest().term > before.term) {
-          news_ = true;
-          group->writes_stalled.reset();
-          group->led_since = now;
+          primary_changed_ = true;
+          group->writes_stalled_since.reset();
+          group->term_learned_at = now;
           outbox_.Log("primary_confirmed", {{"service", service},
                                             {"primary", group->lease.Newest().primary},
                                             {"term", std::to_string(group->lease.Newest().term)}});
         }
       }
       if (status->primary) {
-        NotePosition(service, id, status->received, now);
+        RecordPosition(service, id, status->received, now);
       }
     };
-    backends_.Control(id, {model::ControlKind::kStatus, 0}, answered, now);
+    backends_.QueueControlRequest(id, {model::ControlKind::kStatus, 0}, answered, now);
   }
 }
 
-std::string GroupSet::Suspicion(const GroupState& state, common::Instant now) const {
-  if (now < state.known_since + kSettling) {
+std::string GroupSet::SuspicionReason(const GroupState& state, common::Instant now) const {
+  if (now < state.observed_since + kSettling) {
     return "";
   }
   const Backend* primary = backends_.All().contains(state.lease.Newest().primary)
@@ -348,81 +353,83 @@
   // Who has just learned of a primary that it could not reach before looks once more: the cut that
   // hid it may be over.
   const bool known_before = primary != nullptr && primary->Unreachable() &&
-                            *primary->UnreachableSince() < state.led_since;
-  const bool looks_again = known_before && now < state.led_since + kNewPrimaryGrace;
+                            *primary->UnreachableSince() < state.term_learned_at;
+  const bool looks_again = known_before && now < state.term_learned_at + kNewPrimaryGrace;
   if (primary != nullptr && primary->Unreachable() && !looks_again) {
     return "unreachable";
   }
   // Who does not know all members asks for no lease, so the want of one says nothing.
   const bool leaseless = state.members_known && !state.lease.Holds(now);
-  if (leaseless && now >= state.lease_held_at + kLeaselessLimit) {
+  if (leaseless && now >= state.lease_last_held_at + kLeaselessLimit) {
     return "no lease";
   }
-  if (state.writes_stalled) {
+  if (state.writes_stalled_since) {
     return "writes unanswered";
   }
-  if (state.lost_term != 0 && state.lost_term >= state.lease.Newest().term) {
+  if (state.restarted_primary_term != 0 &&
+      state.restarted_primary_term >= state.lease.Newest().term) {
     return "restarted";
   }
   return "";
 }
 
-void GroupSet::NoteDepartures(GroupState& state, common::Instant now) {
+void GroupSet::RecordTerminations(GroupState& state, common::Instant now) {
   for (const std::string& id : backends_.IdsOf(state.service)) {
     const Backend& backend = backends_.All().at(id);
-    if (backends_.IsSucceeded(backend)) {
+    if (backends_.HasSuccessor(backend)) {
       continue;
     }
-    const bool ended = backend.gone_since && backend.Unreachable();
+    const bool ended = backend.unlisted_since && backend.Unreachable();
     if (!ended) {
-      state.departures.erase(id);
-      state.departed.erase(id);
-    } else if (!state.departed.contains(id)) {
-      state.departures.try_emplace(id, now);
+      state.uncovered_terminations.erase(id);
+      state.covered_terminations.erase(id);
+    } else if (!state.covered_terminations.contains(id)) {
+      state.uncovered_terminations.try_emplace(id, now);
     }
   }
-  for (auto departure = state.departures.begin(); departure != state.departures.end();) {
+  for (auto departure = state.uncovered_terminations.begin();
+       departure != state.uncovered_terminations.end();) {
     const auto covering = state.history.Covering(departure->second);
     if (!covering) {
       ++departure;
       continue;
     }
-    state.floor = std::max(state.floor, *covering);
-    state.departed.insert(departure->first);
-    departure = state.departures.erase(departure);
+    state.minimum_position = std::max(state.minimum_position, *covering);
+    state.covered_terminations.insert(departure->first);
+    departure = state.uncovered_terminations.erase(departure);
   }
 }
 
-void GroupSet::CoverLostLogs(GroupState& state) {
-  std::erase_if(state.lost_logs, [&](common::Instant noticed) {
+void GroupSet::CoverLogLosses(GroupState& state) {
+  std::erase_if(state.log_loss_times, [&](common::Instant noticed) {
     const auto covering = state.history.Covering(noticed);
     if (covering) {
-      state.floor = std::max(state.floor, *covering);
+      state.minimum_position = std::max(state.minimum_position, *covering);
     }
     return covering.has_value();
   });
 }
 
-std::size_t GroupSet::LostLogs(const std::string& service) const {
+std::size_t GroupSet::LogLossCount(const std::string& service) const {
   const auto found = groups_.find(service);
-  return found == groups_.end() ? 0 : found->second.lost_logs.size();
+  return found == groups_.end() ? 0 : found->second.log_loss_times.size();
 }
 
-void GroupSet::MemberRestarted(const model::InstanceEntry& entry, common::Instant now) {
+void GroupSet::OnMemberRestarted(const model::InstanceEntry& entry, common::Instant now) {
   GroupState* state = Find(entry.service);
   if (state == nullptr) {
     return;
   }
-  state->departures.erase(entry.id);
-  state->departed.erase(entry.id);
+  state->uncovered_terminations.erase(entry.id);
+  state->covered_terminations.erase(entry.id);
   const group::Confirmation newest = state->lease.Newest();
   if (entry.id != newest.primary) {
-    state->lost_logs.push_back(now);
+    state->log_loss_times.push_back(now);
     return;
   }
   // It may say that it leads still, with less than was confirmed: nothing of its term is believed.
-  ReleaseBelow(*state, newest.term + 1);
-  state->lost_term = newest.term;
+  ReleaseTermsBelow(*state, newest.term + 1);
+  state->restarted_primary_term = newest.term;
   outbox_.Log(
       "primary_restarted",
       {{"service", entry.service}, {"primary", entry.id}, {"term", std::to_string(newest.term)}},
@@ -430,7 +437,7 @@
 }
 
 bool GroupSet::ReachesMajority(const GroupState& state, common::Instant now) const {
-  const std::vector<std::string> members = Present(state.service, now);
+  const std::vector<std::string> members = QuorumMembers(state.service, now);
   const auto reached = std::count_if(members.begin(), members.end(), [&](const std::string& id) {
     const auto& connections = backends_.All().at(id).Connections();
     return std::any_of(connections.begin(), connections.end(),
@@ -439,22 +446,23 @@
   return static_cast<std::size_t>(reached) >= members.size() / 2 + 1;
 }
 
-void GroupSet::Judge(GroupState& state, common::Instant now) {
+void GroupSet::EvaluatePrimary(GroupState& state, common::Instant now) {
   // Who has yet to connect can't get a lease, so the want of one says nothing of the primary: at a
   // first start before 1,000 groups 41 primaries were replaced for it.
   if (state.lease.Holds(now) || !ReachesMajority(state, now)) {
-    state.lease_held_at = now;
+    state.lease_last_held_at = now;
   }
-  if (state.write_sent && now >= *state.write_sent + kStallLimit && !state.writes_stalled) {
-    state.writes_stalled = now;
+  if (state.oldest_unanswered_write && now >= *state.oldest_unanswered_write + kStallLimit &&
+      !state.writes_stalled_since) {
+    state.writes_stalled_since = now;
   }
-  const std::string suspicion = Suspicion(state, now);
+  const std::string suspicion = SuspicionReason(state, now);
   const bool lost = !suspicion.empty();
-  if (lost == state.lost) {
+  if (lost == state.primary_suspected) {
     return;
   }
-  state.lost = lost;
-  opinion_changed_ = true;
+  state.primary_suspected = lost;
+  suspicion_changed_ = true;
   if (lost) {
     outbox_.Log("primary_lost",
                 {{"service", state.service},
@@ -470,15 +478,15 @@
   }
 }
 
-void GroupSet::Thawed(common::Instant now) {
+void GroupSet::OnPauseEnded(common::Instant now) {
   for (auto& [service, state] : groups_) {
-    state.lease_held_at = now;
-    state.known_since = now;
-    state.writes_stalled.reset();
+    state.lease_last_held_at = now;
+    state.observed_since = now;
+    state.writes_stalled_since.reset();
   }
 }
 
-void GroupSet::Watch(GroupState& state, common::Instant now) {
+void GroupSet::UpdateWatched(GroupState& state, common::Instant now) {
   const bool watched = backends_.Watched(state.service);
   if (watched == std::exchange(state.watched, watched)) {
     return;
@@ -486,26 +494,26 @@
   state.watched_since = now;
   state.members_known = false;
   // An opinion needs a while of looking.
-  state.lost = false;
-  state.known_since = now;
-  state.lease_held_at = now;
-  state.writes_stalled.reset();
+  state.primary_suspected = false;
+  state.observed_since = now;
+  state.lease_last_held_at = now;
+  state.writes_stalled_since.reset();
   // Groups begin as watched; that one was never asked about says nothing.
-  if (watched || state.round_at.count() > 0) {
+  if (watched || state.last_round_at.count() > 0) {
     outbox_.Log("group_watched",
                 {{"service", state.service}, {"watched", watched ? "true" : "false"}});
   }
 }
 
-void GroupSet::ChooseWatched(common::Instant now) {
-  if (watch_changes_ == backends_.WatchChanges() && known_groups_ == groups_.size()) {
+void GroupSet::UpdateWatchedGroups(common::Instant now) {
+  if (seen_watch_changes_ == backends_.WatchChanges() && seen_group_count_ == groups_.size()) {
     return;
   }
-  watch_changes_ = backends_.WatchChanges();
-  known_groups_ = groups_.size();
+  seen_watch_changes_ = backends_.WatchChanges();
+  seen_group_count_ = groups_.size();
   watched_.clear();
   for (auto& [service, state] : groups_) {
-    Watch(state, now);
+    UpdateWatched(state, now);
     if (state.watched) {
       watched_.push_back(&state);
     }
@@ -513,20 +521,20 @@
 }
 
 void GroupSet::Tick(common::Instant now) {
-  ChooseWatched(now);
+  UpdateWatchedGroups(now);
   for (GroupState* each : watched_) {
     GroupState& state = *each;
     const common::Duration age = now - state.lease.Newest().started;
     const bool as_prober = age >= kProberRoundAge &&
-                           now >= state.round_at + settings_.lease_round_interval &&
+                           now >= state.last_round_at + settings_.lease_round_interval &&
                            IsProber(state.service);
-    const bool by_itself = age >= kOwnRoundAge && now >= state.round_at + kOwnRoundPause;
+    const bool by_itself = age >= kOwnRoundAge && now >= state.last_round_at + kOwnRoundPause;
     if (as_prober || by_itself) {
       StartRound(state, now);
     }
-    NoteDepartures(state, now);
-    CoverLostLogs(state);
-    Judge(state, now);
+    RecordTerminations(state, now);
+    CoverLogLosses(state);
+    EvaluatePrimary(state, now);
   }
 }
 
--- a/src/proxy/store_lease.cc
+++ b/src/proxy/lease_renewer.cc
@@ -1,4 +1,4 @@
-#include "proxy/store_lease.h"
+#include "proxy/lease_renewer.h"
 
 namespace valvekeel::proxy {
 namespace {
@@ -9,29 +9,30 @@
 
 }  // namespace
 
-bool StoreLease::IsReader() const {
+bool LeaseRenewer::IsReader() const {
   // Before the others are known, each daemon would read for all.
   return roles_.known() &&
          (roles_.coordinators().empty() || roles_.coordinators().front() == settings_.name);
 }
 
-void StoreLease::Tick(bool store_connected, std::uint64_t era, common::Instant now) {
+void LeaseRenewer::Tick(bool store_connected, std::uint64_t era, common::Instant now) {
   if (call_ || !store_connected) {
     return;
   }
   const bool as_reader = now >= asked_at_ + settings_.lease_round_interval && IsReader();
   const bool by_itself =
-      now >= asked_at_ + kOwnReadPause && groups_.OldestConfirmation(now) >= kOwnReadAge;
+      now >= asked_at_ + kOwnReadPause && groups_.OldestLeaseAge(now) >= kOwnReadAge;
   if (!as_reader && !by_itself) {
     return;
   }
   call_ = outbox_.NextNumber();
   asked_at_ = now;
-  asked_era_ = era;
+  requested_era_ = era;
   outbox_.Emit(ReadLeadership{*call_, era});
 }
 
-bool StoreLease::Read(CallNumber call, const std::optional<model::LeadershipRecord>& record) {
+bool LeaseRenewer::OnReadAnswered(CallNumber call,
+                                  const std::optional<model::LeadershipRecord>& record) {
   if (call_ != call) {
     return false;
   }
--- a/src/proxy/store_lease.h
+++ b/src/proxy/lease_renewer.h
@@ -18,10 +18,10 @@
 
 namespace valvekeel::proxy {
 
-class StoreLease {
+class LeaseRenewer {
  public:
-  StoreLease(const ProxySettings& settings, GroupSet& groups, const relay::role_map& roles,
-             Outbox& outbox)
+  LeaseRenewer(const ProxySettings& settings, GroupSet& groups, const relay::role_map& roles,
+               Outbox& outbox)
       : settings_(settings), groups_(groups), roles_(roles), outbox_(outbox) {}
 
   /// @return true if this daemon reads the record for all.
@@ -31,10 +31,10 @@
   void Tick(bool store_connected, std::uint64_t era, common::Instant now);
 
   /// @return the era whose record was asked for last.
-  std::uint64_t AskedEra() const { return asked_era_; }
+  std::uint64_t RequestedEra() const { return requested_era_; }
 
   /// Takes the record. @return true if the call was ours.
-  bool Read(CallNumber call, const std::optional<model::LeadershipRecord>& record);
+  bool OnReadAnswered(CallNumber call, const std::optional<model::LeadershipRecord>& record);
 
  private:
   const ProxySettings& settings_;
@@ -43,7 +43,7 @@
   Outbox& outbox_;
   std::optional<CallNumber> call_;
   common::Instant asked_at_{0};
-  std::uint64_t asked_era_ = 0;
+  std::uint64_t requested_era_ = 0;
 };
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/peer_message.cc
+++ b/src/proxy/peer_message.cc
@@ -36,8 +36,8 @@
 json GroupToJson(const GroupReport& group) {
   return json::array({group.service, group.term, group.primary, AgeToJson(group.confirmation_age),
                       AgeToJson(group.sample_age), group.sample.term, group.sample.lsn,
-                      group.floor.term, group.floor.lsn, group.replicas, group.primary_lost,
-                      group.fence_below, group.released_below});
+                      group.minimum_position.term, group.minimum_position.lsn, group.replica_count,
+                      group.primary_suspected, group.fence_below, group.released_below});
 }
 
 GroupReport GroupFromJson(const json& value) {
@@ -51,10 +51,10 @@
   group.sample_age = AgeFromJson(next());
   group.sample.term = next().get<common::Term>();
   group.sample.lsn = next().get<common::Lsn>();
-  group.floor.term = next().get<common::Term>();
-  group.floor.lsn = next().get<common::Lsn>();
-  group.replicas = next().get<std::size_t>();
-  group.primary_lost = next().get<bool>();
+  group.minimum_position.term = next().get<common::Term>();
+  group.minimum_position.lsn = next().get<common::Lsn>();
+  group.replica_count = next().get<std::size_t>();
+  group.primary_suspected = next().get<bool>();
   group.fence_below = next().get<common::Term>();
   group.released_below = next().get<common::Term>();
   return group;
@@ -216,7 +216,7 @@
                                   ToJson(message.rates),
                                   ToJson(message.evacuations),
                                   std::move(groups),
-                                  message.continues,
+                                  message.is_continuation,
                                   message.configuration_revision.era,
                                   message.instances_revision.era});
   std::string bytes;
@@ -252,7 +252,7 @@
       message.groups.push_back(GroupFromJson(group));
     }
     // Earlier versions send all groups in one message.
-    message.continues = field < whole.size() && next().get<bool>();
+    message.is_continuation = field < whole.size() && next().get<bool>();
     // Earlier versions know of no eras: what they tell is older than any.
     const auto era = [&] { return field < whole.size() ? next().get<std::uint64_t>() : 0; };
     message.configuration_revision.era = era();
--- a/src/proxy/peer_message.h
+++ b/src/proxy/peer_message.h
@@ -29,10 +29,10 @@
   std::optional<common::Duration> confirmation_age;  // of the read lease's newest round
   std::optional<common::Duration> sample_age;        // of `sample`
   common::Position sample;                           // the primary's position, see PositionHistory
-  common::Position floor;                            // that a promoted replica must hold
-  std::size_t replicas = 0;                          // that the sender counts
-  bool primary_lost = false;
-  bool troubled = false;            // all should hear of it; not sent
+  common::Position minimum_position;                 // that a promoted replica must hold
+  std::size_t replica_count = 0;                     // that the sender counts
+  bool primary_suspected = false;
+  bool degraded = false;            // all should hear of it; not sent
   common::Term fence_below = 0;     // all are asked to let go of terms below
   common::Term released_below = 0;  // the sender has let go of terms below
 };
@@ -57,7 +57,7 @@
   tenants::rate_message rates;
   evacuation::view_message evacuations;  // if zones can be evacuated
   std::vector<GroupReport> groups;
-  bool continues = false;  // its groups belong to those of the message before
+  bool is_continuation = false;  // its groups belong to those of the message before
 };
 
 /// Why bytes are not a message.
--- a/src/proxy/peer_table.cc
+++ b/src/proxy/peer_table.cc
@@ -37,7 +37,7 @@
   return peer;
 }
 
-void PeerTable::Stamp(Peer& peer, PeerMessage& message, common::Instant now) const {
+void PeerTable::FillHeader(Peer& peer, PeerMessage& message, common::Instant now) const {
   message.name = self_;
   message.incarnation = incarnation_;
   message.sequence = peer.next_sequence++;
@@ -67,20 +67,21 @@
   peer.name = message.name;
   if (new_life) {
     // It knows nothing of what was told before.
-    peer.confirmed = common::Instant(0);
-    peer.counts_told_since.reset();
+    peer.last_echoed_sent_at = common::Instant(0);
+    peer.counts_reported_since.reset();
   }
   peer.incarnation = message.incarnation;
   peer.highest_sequence = message.sequence;
-  peer.heard = now;
+  peer.last_received_at = now;
   std::vector<GroupReport> before = std::exchange(peer.last, message).groups;
-  if (message.continues) {
+  if (message.is_continuation) {
     AddMissing(before, peer.last.groups);
   }
-  peer.wants_introduction = membership::live_view::wants_introduction(message.view);
+  peer.looks_for_hubs = membership::live_view::wants_introduction(message.view);
   peer.last.view = {};  // taken by the membership
-  peer.reports_loss = std::any_of(peer.last.groups.begin(), peer.last.groups.end(),
-                                  [](const GroupReport& report) { return report.primary_lost; });
+  peer.suspects_primary =
+      std::any_of(peer.last.groups.begin(), peer.last.groups.end(),
+                  [](const GroupReport& report) { return report.primary_suspected; });
   by_name_[message.name] = &peer;
   if (message.echoed_incarnation != incarnation_) {
     return std::nullopt;
@@ -90,17 +91,18 @@
   if (echoed == peer.sent.end()) {
     return std::nullopt;
   }
-  peer.confirmed = std::max(peer.confirmed, echoed->second);
+  peer.last_echoed_sent_at = std::max(peer.last_echoed_sent_at, echoed->second);
   return echoed->second;
 }
 
 bool PeerTable::Alive(const Peer& peer, common::Instant now) const {
-  return peer.heard &&
-         now < *peer.heard + std::max(kPeerSilence, kMissedIntervals * peer.last.interval);
+  return peer.last_received_at &&
+         now <
+             *peer.last_received_at + std::max(kPeerTimeout, kMissedIntervals * peer.last.interval);
 }
 
-bool PeerTable::AliveInLife(const common::Endpoint& address, std::uint64_t incarnation,
-                            common::Instant now) const {
+bool PeerTable::AliveWithIncarnation(const common::Endpoint& address, std::uint64_t incarnation,
+                                     common::Instant now) const {
   const auto peer = peers_.find(address);
   return peer != peers_.end() && peer->second.incarnation == incarnation &&
          Alive(peer->second, now);
@@ -117,10 +119,11 @@
   return names;
 }
 
-std::size_t PeerTable::HeardWithin(common::Duration age, common::Instant now) const {
-  return static_cast<std::size_t>(std::count_if(
-      peers_.begin(), peers_.end(),
-      [&](const auto& entry) { return entry.second.heard && now < *entry.second.heard + age; }));
+std::size_t PeerTable::CountReceivedWithin(common::Duration age, common::Instant now) const {
+  return static_cast<std::size_t>(
+      std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
+        return entry.second.last_received_at && now < *entry.second.last_received_at + age;
+      }));
 }
 
 const Peer* PeerTable::ByName(const std::string& name) const {
@@ -128,9 +131,9 @@
   return found == by_name_.end() ? nullptr : found->second;
 }
 
-bool PeerTable::AnyPrimaryLost(common::Instant now) const {
+bool PeerTable::AnyPrimarySuspected(common::Instant now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return entry.second.reports_loss && Alive(entry.second, now);
+    return entry.second.suspects_primary && Alive(entry.second, now);
   });
 }
 
--- a/src/proxy/peer_table.h
+++ b/src/proxy/peer_table.h
@@ -21,25 +21,27 @@
 namespace valvekeel::proxy {
 
 /// Silence after which a peer does not count as alive, unless it said that it sends less often.
-inline constexpr common::Duration kPeerSilence{900'000};
+inline constexpr common::Duration kPeerTimeout{900'000};
 
 struct Peer {
   common::Endpoint address;
   std::string name;  // empty until it is known
-  std::optional<common::Instant> heard;
+  std::optional<common::Instant> last_received_at;
   std::uint64_t incarnation = 0;
   std::uint64_t highest_sequence = 0;  // heard of this incarnation
   std::uint64_t next_sequence = 1;     // of our messages to it
   std::deque<std::pair<std::uint64_t, common::Instant>> sent;
-  common::Instant confirmed{0};  // when the newest of our messages that it has seen was sent
+  common::Instant last_echoed_sent_at{
+      0};  // when the newest of our messages that it has seen was sent
   common::Instant next_heartbeat{0};
-  common::Duration pace{0};  // between heartbeats in a large deployment; 0 if there are none
+  common::Duration send_interval{
+      0};  // between heartbeats in a large deployment; 0 if there are none
   /// Since when it is told this daemon's counts of tenants' operations, all of them at first.
-  std::optional<common::Instant> counts_told_since;
+  std::optional<common::Instant> counts_reported_since;
   PeerMessage last;
-  common::Instant introduced_at{0};  // when it was last told who the hubs are
-  bool wants_introduction = false;   // it does not know who lives
-  bool reports_loss = false;         // its last message takes some primary for lost
+  common::Instant hubs_sent_at{0};  // when it was last told who the hubs are
+  bool looks_for_hubs = false;      // it does not know who lives
+  bool suspects_primary = false;    // its last message takes some primary for lost
 };
 
 class PeerTable {
@@ -52,7 +54,7 @@
   Peer& Add(const common::Endpoint& address, const std::string& name = "");
 
   /// Completes a message for the peer: sequence, echo.
-  void Stamp(Peer& peer, PeerMessage& message, common::Instant now) const;
+  void FillHeader(Peer& peer, PeerMessage& message, common::Instant now) const;
 
   /// Takes a message.
   /// @return our instant that the peer's ages count from, at the latest; nothing if unknown or if
@@ -63,14 +65,14 @@
   bool Alive(const Peer& peer, common::Instant now) const;
 
   /// @return true if the daemon at the address is alive and still in this life.
-  bool AliveInLife(const common::Endpoint& address, std::uint64_t incarnation,
-                   common::Instant now) const;
+  bool AliveWithIncarnation(const common::Endpoint& address, std::uint64_t incarnation,
+                            common::Instant now) const;
 
   /// @return names of the live peers that are not stopping.
   std::vector<std::string> LiveNames(common::Instant now) const;
 
   /// @return number of peers heard no longer than this ago.
-  std::size_t HeardWithin(common::Duration age, common::Instant now) const;
+  std::size_t CountReceivedWithin(common::Duration age, common::Instant now) const;
 
   std::map<common::Endpoint, Peer>& All() { return peers_; }
   const std::map<common::Endpoint, Peer>& All() const { return peers_; }
@@ -78,7 +80,7 @@
   const Peer* ByName(const std::string& name) const;
 
   /// @return true if some live peer takes a primary for lost.
-  bool AnyPrimaryLost(common::Instant now) const;
+  bool AnyPrimarySuspected(common::Instant now) const;
 
  private:
   std::string self_;
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -76,7 +76,7 @@
   if (FollowsEvacuations()) {
     access_.add(evacuation_rule_);
   }
-  backends_.SetLifeObserver(&warm_up_);
+  backends_.SetWarmUpObserver(&warm_up_);
   backends_.SetRestartObserver(this);
   access_.add(warm_up_);
   for (const common::Endpoint& seed_peer : settings_.seed_peers) {
@@ -146,20 +146,20 @@
 }
 
 void Proxy::ConnectionOpened(ConnectionNumber connection, common::Instant now) {
-  backends_.Opened(connection, now);
+  backends_.OnOpened(connection, now);
 }
 
 void Proxy::ConnectionFailed(ConnectionNumber connection, OpenFailure failure,
                              model::ErrorCode error, common::Instant now) {
-  backends_.OpenFailed(connection, failure, error, now);
+  backends_.OnOpenFailed(connection, failure, error, now);
 }
 
 void Proxy::Answered(ConnectionNumber connection, const model::Reply& reply, common::Instant now) {
-  backends_.Answered(connection, reply, now);
+  backends_.OnAnswered(connection, reply, now);
 }
 
 void Proxy::ConnectionClosed(ConnectionNumber connection, common::Instant now) {
-  backends_.Closed(connection, now);
+  backends_.OnClosed(connection, now);
 }
 
 void Proxy::CatalogRead(CallNumber call, const metadata::ReadResult& result, common::Instant now) {
@@ -167,7 +167,7 @@
   if (EvacuationsRead(call, result, now)) {
     return;
   }
-  Apply(catalog_.Answered(call, result, now, Jitter()), now);
+  Apply(catalog_.OnAnswered(call, result, now, Jitter()), now);
   catalog_.Tick(now);
 }
 
@@ -175,18 +175,18 @@
                            const model::Revision& revision, common::Instant now) {
   NoteEra(revision.era, now);
   // A record of an earlier era says nothing of what was begun in this one.
-  const bool of_present_era = record && store_lease_.AskedEra() == catalog_.Era();
-  store_lease_.Read(call, of_present_era ? record : std::nullopt);
+  const bool of_present_era = record && store_lease_.RequestedEra() == catalog_.Era();
+  store_lease_.OnReadAnswered(call, of_present_era ? record : std::nullopt);
   if (large_) {
-    catalog_.NoteProbe(record.has_value());
+    catalog_.OnProbeResult(record.has_value());
   }
   if (of_present_era) {
-    failover_.RecordSeen(*record, revision, now);
+    failover_.OnRecordRead(*record, revision, now);
   }
 }
 
 void Proxy::NoteEra(std::uint64_t era, common::Instant now) {
-  catalog_.NoteEra(era, "store", now);
+  catalog_.ApplyEra(era, "store", now);
   if (catalog_.Era() == followed_era_) {
     return;
   }
@@ -212,20 +212,20 @@
   NoteEra(revision.era, now);
   const auto version =
       configuration ? std::optional(configuration->version) : std::optional<std::uint64_t>();
-  if (prover_.Read(call, version, catalog_) && configuration) {
-    Apply(catalog_.TakeRead(*configuration, revision, now), now);
+  if (prover_.OnReadAnswered(call, version, catalog_) && configuration) {
+    Apply(catalog_.ApplyConfigurationRead(*configuration, revision, now), now);
   }
 }
 
 void Proxy::LeadershipWritten(CallNumber call, const failover::WriteResult& result,
                               common::Instant now) {
   NoteEra(result.revision.era, now);
-  failover_.RecordWritten(call, result, now);
+  failover_.OnRecordWritten(call, result, now);
   failover_.Tick(catalog_.Configuration(), catalog_.Daemons(), catalog_.Connected(), now);
 }
 
 void Proxy::Promoted(CallNumber call, failover::PromotionStatus status, common::Instant now) {
-  failover_.Promoted(call, status, now);
+  failover_.OnPromotionAnswered(call, status, now);
   failover_.Tick(catalog_.Configuration(), catalog_.Daemons(), catalog_.Connected(), now);
 }
 
@@ -242,7 +242,7 @@
 
 void Proxy::PeerHeard(const common::Endpoint& from, const PeerMessage& message,
                       common::Instant now) {
-  const bool was_alive = peers_.AliveInLife(from, message.incarnation, now);
+  const bool was_alive = peers_.AliveWithIncarnation(from, message.incarnation, now);
   const auto counted_from = peers_.Receive(from, message, now);
   const auto peer = peers_.All().find(from);
   if (peer == peers_.All().end()) {
@@ -258,12 +258,12 @@
     // A daemon that has just come learns at once what it can't know by itself yet.
     SendHeartbeat(peer->second, MakeHeartbeat(true, now), now);
   }
-  if (groups_.TakeReports(message, counted_from)) {
+  if (groups_.ApplyReports(message, counted_from)) {
     // Who announced the fence waits for the word that the lease was let go.
     SendHeartbeat(peer->second, MakeHeartbeat(TellsAll(), now), now);
   }
   NoteConfigurationAhead(from, message.configuration_version, now);
-  catalog_.NoteRevisions({message.configuration_revision, message.instances_revision}, now);
+  catalog_.ApplyRevisions({message.configuration_revision, message.instances_revision}, now);
   NoteEra(catalog_.Era(), now);
 }
 
@@ -275,7 +275,7 @@
   fetching_.reset();
   fetch_not_before_ = now + kFetchPause;
   if (copy) {
-    Apply(catalog_.TakeCopy(*copy), now);
+    Apply(catalog_.ApplyCopy(*copy), now);
   } else {
     outbox_.Log("catalog_fetch_failed", {}, LogLevel::kWarning);
   }
@@ -290,8 +290,8 @@
       groups_.Get(instance.service, now);
     }
   }
-  for (const std::string& id : update.instances_gone) {
-    backends_.EntryGone(id, now);
+  for (const std::string& id : update.removed_instances) {
+    backends_.OnEntryRemoved(id, now);
   }
   for (const model::DaemonEntry& daemon : update.daemons) {
     if (catalog_.ListsDaemon(settings_.name)) {
@@ -302,7 +302,7 @@
     }
   }
   if (update.leadership) {
-    failover_.RecordSeen(update.leadership->first, update.leadership->second, now);
+    failover_.OnRecordRead(update.leadership->first, update.leadership->second, now);
   }
   if (update.configuration) {
     ApplyConfiguration(now);
@@ -310,11 +310,11 @@
 }
 
 void Proxy::OnRestarted(const model::InstanceEntry& entry, common::Instant now) {
-  if (!settings_.mechanisms.instance_lives) {
+  if (!settings_.mechanisms.instance_incarnations) {
     return;
   }
-  groups_.MemberRestarted(entry, now);
-  failover_.MemberRestarted(entry, now);
+  groups_.OnMemberRestarted(entry, now);
+  failover_.OnMemberRestarted(entry, now);
 }
 
 void Proxy::ApplyConfiguration(common::Instant now) {
@@ -332,8 +332,8 @@
 }
 
 std::size_t Proxy::SharingDaemons(common::Instant now) const {
-  const std::size_t heard =
-      large_ ? view_.live_within(kSharingAge, now) : peers_.HeardWithin(kSharingAge, now) + 1;
+  const std::size_t heard = large_ ? view_.live_within(kSharingAge, now)
+                                   : peers_.CountReceivedWithin(kSharingAge, now) + 1;
   const bool new_here = started_ && now < *started_ + kSharingAge;
   return std::max(heard, new_here ? catalog_.Daemons().size() : std::size_t{1});
 }
@@ -358,7 +358,7 @@
   }
   std::set<std::string> heard;
   for (const auto& [address, peer] : peers_.All()) {
-    if (peer.heard) {
+    if (peer.last_received_at) {
       heard.insert(peer.name);
     }
     if (peers_.Alive(peer, now) && !peer.last.stopping) {
@@ -394,7 +394,7 @@
     const std::set<std::string> in_use =
         roles_.meshed() ? std::set<std::string>() : dispatcher_.ServicesInUse();
     SetInterest(!in_use.empty(), now);
-    backends_.SetMostOpening(roles_.meshed() ? kOpeningMeshed : kOpeningOwner);
+    backends_.SetMaxOpening(roles_.meshed() ? kOpeningMeshed : kOpeningOwner);
     if (changed || in_use != limited_in_use_) {
       limited_in_use_ = in_use;
       LimitConnections(in_use);
@@ -514,10 +514,10 @@
 }
 
 void Proxy::LearnMembers() {
-  if (const auto as_of = catalog_.InstancesShownAsOf()) {
-    groups_.NoteMembersKnown(*as_of);
+  if (const auto as_of = catalog_.InstancesCompleteAsOf()) {
+    groups_.RecordMembersKnown(*as_of);
   }
-  if (groups_.LacksMembers()) {
+  if (groups_.MembersIncomplete()) {
     catalog_.RelistInstances();
   }
 }
@@ -565,7 +565,7 @@
   }
   if (now >= last_tick_ + kStandstill) {
     outbox_.Log("thawed", {{"stood_still_ms", Milliseconds(now - last_tick_)}}, LogLevel::kWarning);
-    groups_.Thawed(now);
+    groups_.OnPauseEnded(now);
   }
   last_tick_ = now;
   catalog_.Tick(now);
@@ -587,13 +587,13 @@
   dispatcher_.Tick(now);
   relay_.Tick(now);
   JudgeReadiness(now);
-  const bool fence = failover_.TakeUrgent();
-  const bool news = groups_.TakeNews();
-  if (groups_.TakeConfirmed()) {
+  const bool fence = failover_.ConsumeFenceAnnounced();
+  const bool news = groups_.ConsumePrimaryChanged();
+  if (groups_.ConsumeLeaseRenewed()) {
     AdvanceHeartbeats(now);
   }
   // In a large deployment most daemons know of a group only what its watchers tell.
-  const bool opinion = groups_.TakeOpinionChanged() && !roles_.meshed();
+  const bool opinion = groups_.ConsumeSuspicionChanged() && !roles_.meshed();
   const bool revision =
       catalog_.Revisions().configuration > told_configuration_revision_ ||
       (view_.is_hub() && catalog_.Configuration().version > told_configuration_version_);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -27,11 +27,11 @@
 #include "proxy/dispatcher.h"
 #include "proxy/failover_driver.h"
 #include "proxy/group_set.h"
+#include "proxy/lease_renewer.h"
 #include "proxy/outbox.h"
 #include "proxy/peer_table.h"
 #include "proxy/proxy_settings.h"
 #include "proxy/session_relay.h"
-#include "proxy/store_lease.h"
 #include "regions/region_policy.h"
 #include "regions/region_rule.h"
 #include "relay/role_map.h"
@@ -265,7 +265,7 @@
   GroupSet groups_;
   CatalogState catalog_;
   FailoverDriver failover_;
-  StoreLease store_lease_;
+  LeaseRenewer store_lease_;
   ConfigurationProver prover_;
   Dispatcher dispatcher_;
   SessionRelay relay_;
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -53,7 +53,7 @@
   }
   evacuation::zone_view view;
   view.revision = result.revision;
-  view.read_at = catalog_.ShownAsOf(*read_at);
+  view.read_at = catalog_.CompleteAsOf(*read_at);
   for (const model::CatalogObject& object : result.objects) {
     view.zones.insert(object.name);
   }
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -107,7 +107,7 @@
   } else if (!lacks_configuration_since_) {
     lacks_configuration_since_ = now;
   }
-  catalog_.SetConfigurationSource(ReadsConfiguration(now));
+  catalog_.SetFollowsConfiguration(ReadsConfiguration(now));
 }
 
 common::Duration Proxy::DutyInterval(const std::string& peer) const {
@@ -130,8 +130,8 @@
 void Proxy::AddPartner(const common::Endpoint& address, const std::string& name,
                        common::Duration pace) {
   Peer& peer = peers_.Add(address, name);
-  const bool chosen = peer.pace.count() > 0;
-  peer.pace = chosen ? std::min(peer.pace, pace) : pace;
+  const bool chosen = peer.send_interval.count() > 0;
+  peer.send_interval = chosen ? std::min(peer.send_interval, pace) : pace;
   if (!chosen) {
     partners_.push_back(&peer);
   }
@@ -139,7 +139,7 @@
 
 void Proxy::ChoosePartners(common::Instant now) {
   for (Peer* peer : partners_) {
-    peer->pace = common::Duration(0);
+    peer->send_interval = common::Duration(0);
   }
   partners_.clear();
   const bool owner = roles_.known() && roles_.watches_any();
@@ -180,7 +180,7 @@
     view_.set_registered(std::move(registered), now);
   }
   const std::size_t known =
-      std::max(catalog_.Daemons().size(), peers_.HeardWithin(kEarly, now) + 1);
+      std::max(catalog_.Daemons().size(), peers_.CountReceivedWithin(kEarly, now) + 1);
   large_ = large_ || known > settings_.roles.most_meshed_daemons;
   if (!large_) {
     return;
@@ -223,7 +223,8 @@
 }
 
 bool Proxy::OwesIntroduction(const Peer& peer, common::Instant now) {
-  return peer.heard && peer.wants_introduction && now >= peer.introduced_at + kIntroductionPause;
+  return peer.last_received_at && peer.looks_for_hubs &&
+         now >= peer.hubs_sent_at + kIntroductionPause;
 }
 
 bool Proxy::HasStore(common::Instant now) const {
@@ -262,7 +263,7 @@
     return true;
   }
   // Any daemon may hold a lease that must be let go; else only watchers care.
-  return large_ ? report.fence_below > 0 : report.troubled;
+  return large_ ? report.fence_below > 0 : report.degraded;
 }
 
 void Proxy::SendHeartbeat(Peer& peer, const PeerMessage& whole, common::Instant now) {
@@ -272,11 +273,11 @@
     message.view = view_.message_for(peer.name, now);
     if (OwesIntroduction(peer, now)) {
       message.view.introduced = view_.introduction(now);
-      peer.introduced_at = now;
+      peer.hubs_sent_at = now;
     }
-    const bool partner = peer.pace.count() > 0;
-    message.interval =
-        partner && (alive || view_.find(peer.name) != nullptr) ? peer.pace : kDeadPeerPause;
+    const bool partner = peer.send_interval.count() > 0;
+    message.interval = partner && (alive || view_.find(peer.name) != nullptr) ? peer.send_interval
+                                                                              : kDeadPeerPause;
   } else {
     const bool early = now < *started_ + kEarly;
     message.interval = alive   ? settings_.heartbeat_interval
@@ -297,18 +298,18 @@
     if (!Concerns(report, peer)) {
       continue;
     }
-    if (message.groups.size() >= (message.continues ? kMostReports : most)) {
+    if (message.groups.size() >= (message.is_continuation ? kMostReports : most)) {
       PeerMessage next = WithoutGroups(message);
       next.view.lists.clear();
       next.view.introduced.clear();
-      next.continues = true;
-      peers_.Stamp(peer, message, now);
+      next.is_continuation = true;
+      peers_.FillHeader(peer, message, now);
       outbox_.Emit(SendPeer{peer.address, std::move(message)});
       message = std::move(next);
     }
     message.groups.push_back(report);
   }
-  peers_.Stamp(peer, message, now);
+  peers_.FillHeader(peer, message, now);
   outbox_.Emit(SendPeer{peer.address, std::move(message)});
 }
 
@@ -324,7 +325,7 @@
 }
 
 bool Proxy::IsReceiver(const Peer& peer, Receivers receivers, common::Instant now) const {
-  if (now >= peer.next_heartbeat && (!large_ || peer.pace.count() > 0)) {
+  if (now >= peer.next_heartbeat && (!large_ || peer.send_interval.count() > 0)) {
     return true;
   }
   if (receivers == Receivers::kDue) {
@@ -361,7 +362,7 @@
 void Proxy::AdvanceHeartbeats(common::Instant now) {
   // A heartbeat that is due soon carries more if it follows the confirmation at once.
   for (Peer* peer : ReceiversOf(Receivers::kPartners)) {
-    const common::Duration interval = large_ ? peer->pace : settings_.heartbeat_interval;
+    const common::Duration interval = large_ ? peer->send_interval : settings_.heartbeat_interval;
     const bool due_soon = now + interval / 2 >= peer->next_heartbeat;
     if (due_soon && peers_.Alive(*peer, now)) {
       peer->next_heartbeat = now;
--- a/src/proxy/proxy_settings.h
+++ b/src/proxy/proxy_settings.h
@@ -24,16 +24,16 @@
 /// Mechanisms that tests switch off to see that the simulator's checkers notice. No setting of the
 /// daemon reaches them.
 struct Mechanisms {
-  bool read_lease = true;          // reads at a primary need a lease
-  bool required_positions = true;  // replicas must hold what a read needs
-  bool enough_fences = true;       // more than one replica is fenced before a promotion
-  bool session_reset = true;       // a connection's values are those of its session
-  bool tenant_connections = true;  // a connection serves one tenant
-  bool unknown_outcomes = true;    // a write whose answer is lost is not sent again
-  bool evacuation_bound = true;    // instances of an evacuated zone close in time
-  bool warm_up_limit = true;       // instances that have just started get few requests
-  bool allowed_regions = true;     // work stays in the regions where it may run
-  bool instance_lives = true;      // what a restarted instance held before counts as lost
+  bool read_lease = true;             // reads at a primary need a lease
+  bool required_positions = true;     // replicas must hold what a read needs
+  bool enough_fences = true;          // more than one replica is fenced before a promotion
+  bool session_reset = true;          // a connection's values are those of its session
+  bool tenant_connections = true;     // a connection serves one tenant
+  bool unknown_outcomes = true;       // a write whose answer is lost is not sent again
+  bool evacuation_bound = true;       // instances of an evacuated zone close in time
+  bool warm_up_limit = true;          // instances that have just started get few requests
+  bool allowed_regions = true;        // work stays in the regions where it may run
+  bool instance_incarnations = true;  // what a restarted instance held before counts as lost
 };
 
 struct ProxySettings {
@@ -60,8 +60,8 @@
   common::Duration coordinator_watch_wait{5'000'000};
   /// For a daemon that hears from others what is new: between two lists, and the time after which
   /// it lists the other daemons again.
-  common::Duration news_pause{500'000};
-  common::Duration seldom_wait{60'000'000};
+  common::Duration notified_list_pause{500'000};
+  common::Duration notified_watch_wait{60'000'000};
   common::Duration heartbeat_interval{250'000};
   /// In a large deployment: among coordinators; between a coordinator that does not act for all and
   /// the owners, who tell it at once what matters; and from an owner to its hubs, since callers
--- a/src/proxy/proxy_tenants.cc
+++ b/src/proxy/proxy_tenants.cc
@@ -56,15 +56,15 @@
     return;
   }
   if (roles_.coordinates(peer.name)) {
-    if (!peer.counts_told_since) {
-      peer.counts_told_since = now;
+    if (!peer.counts_reported_since) {
+      peer.counts_reported_since = now;
     }
-    const bool has_all = peer.confirmed >= *peer.counts_told_since;
+    const bool has_all = peer.last_echoed_sent_at >= *peer.counts_reported_since;
     message.rates.counts = true;
     message.rates.usage =
-        admission_.limiter().usage_since(has_all ? peer.confirmed : common::Instant(0));
+        admission_.limiter().usage_since(has_all ? peer.last_echoed_sent_at : common::Instant(0));
   } else {
-    peer.counts_told_since.reset();
+    peer.counts_reported_since.reset();
   }
   if (AllocatesRates() && roles_.watches_any(peer.name)) {
     message.rates.allocates = true;
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -38,7 +38,7 @@
   if (!warm_up_.enabled()) {
     return;
   }
-  for (const std::string& id : update.instances_gone) {
+  for (const std::string& id : update.removed_instances) {
     warm_up_.instances().note_gone(id);
   }
   for (const model::InstanceEntry& entry : update.instances) {
@@ -50,12 +50,12 @@
   warm_up::hearing heard;
   heard.alive = LiveMembers(now).size();
   heard.listed = catalog_.Daemons().size();
-  heard.lately =
-      large_ ? view_.live_within(kHeardLately, now) : peers_.HeardWithin(kHeardLately, now) + 1;
+  heard.lately = large_ ? view_.live_within(kHeardLately, now)
+                        : peers_.CountReceivedWithin(kHeardLately, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.Alive(peer, now)) {
       ++heard.direct;
-      heard.direct_hearing += now < peer.confirmed + kConfirmedAge ? 1 : 0;
+      heard.direct_hearing += now < peer.last_echoed_sent_at + kConfirmedAge ? 1 : 0;
     }
   }
   return heard;
--- a/src/proxy/read_placement.cc
+++ b/src/proxy/read_placement.cc
@@ -47,11 +47,11 @@
 bool ReadPlacement::TakesWork(const Backend& backend, common::Instant now) const {
   const common::Duration usable =
       settings_.drain_limit - std::min(kDrainMargin, settings_.drain_limit);
-  const bool leaves = backend.draining_since || backend.gone_since;
+  const bool leaves = backend.draining_since || backend.unlisted_since;
   const common::Instant since =
-      std::min(backend.draining_since.value_or(now), backend.gone_since.value_or(now));
+      std::min(backend.draining_since.value_or(now), backend.unlisted_since.value_or(now));
   const bool left = leaves && now >= since + usable;
-  return !left && !backend.Unreachable() && !backend.Silent(now);
+  return !left && !backend.Unreachable() && !backend.IsUnresponsive(now);
 }
 
 double ReadPlacement::WayCost(const std::string& zone) const {
@@ -65,7 +65,7 @@
 
 double ReadPlacement::Cost(const Backend& backend, common::Instant now) const {
   const double slots = std::max<double>(1, backend.Entry().slots);
-  const auto busy = static_cast<double>(backend.Busy());
+  const auto busy = static_cast<double>(backend.BusyCount());
   double cost = backend.LatencyUs() * (1 + busy / slots);
   cost += WayCost(backend.Entry().zone);
   if (now < backend.AvoidUntil()) {
@@ -88,7 +88,7 @@
     placement.cost_us += kPrimaryUs;
     // One that has started again under its id may be reached before the lease is let go: it holds
     // nothing of this.
-    placement.required = group.KnownOfPrimary();
+    placement.required = group.PrimaryPosition();
     return placement;
   }
   placement.required = required->position;
@@ -117,7 +117,7 @@
     if (!placement) {
       continue;
     }
-    const bool leaves = backend.draining_since || backend.gone_since;
+    const bool leaves = backend.draining_since || backend.unlisted_since;
     if (leaves || verdict == access::verdict::last_resort) {
       last.push_back(std::move(*placement));
     } else {
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -196,12 +196,12 @@
 
 bool SessionRelay::HeardLately(const std::string& daemon, common::Instant now) const {
   const Peer* peer = peers_.ByName(daemon);
-  if (peer == nullptr || !peer->heard) {
+  if (peer == nullptr || !peer->last_received_at) {
     return false;
   }
   const common::Duration limit =
       std::max(relay::OWNER_SILENCE, kMissedHeartbeats * peer->last.interval);
-  return now < *peer->heard + limit;
+  return now < *peer->last_received_at + limit;
 }
 
 bool SessionRelay::alive(const std::string& daemon, common::Instant now) const {
--- a/src/proxysim/daemon_host.cc
+++ b/src/proxysim/daemon_host.cc
@@ -272,7 +272,7 @@
   const bool way = world.Reaches(name_, action.instance) && world.Reaches(action.instance, name_);
   if (!way) {
     world.After(kConnectTimeout,
-                [fail] { fail(proxy::OpenFailure::kSilent, model::ErrorCode::kFailed); });
+                [fail] { fail(proxy::OpenFailure::kTimedOut, model::ErrorCode::kFailed); });
     return;
   }
   if (!there) {
--- a/tests/proxy/backend_set_test.cc
+++ b/tests/proxy/backend_set_test.cc
@@ -13,7 +13,8 @@
 
 class NoObserver : public ConnectionObserver {
  public:
-  void OnAnswer(Backend&, Connection&, const Outstanding&, const model::Reply&, Instant) override {}
+  void OnAnswer(Backend&, Connection&, const OutstandingRequest&, const model::Reply&,
+                Instant) override {}
   void OnLost(Backend&, Connection&, Instant) override {}
   void OnCapacity(Instant) override {}
 };
@@ -41,7 +42,7 @@
 struct BackendFixture {
   BackendFixture(std::size_t connections, bool watched) {
     backends.SetObserver(&observer);
-    backends.SetLifeObserver(&lives);
+    backends.SetWarmUpObserver(&lives);
     model::InstanceEntry entry;
     entry.id = "i";
     entry.service = "group";
@@ -52,7 +53,7 @@
     }
     for (const Action& action : outbox.Take()) {
       if (const auto* open = std::get_if<OpenConnection>(&action)) {
-        backends.Opened(open->connection, kStart);
+        backends.OnOpened(open->connection, kStart);
       }
     }
   }
@@ -63,7 +64,7 @@
     backends.SetConnectionLimit("group", Count() + 1);
     REQUIRE(backends.Open(*backends.Find("i"), now));
     const ConnectionNumber number = std::get<OpenConnection>(outbox.Take().back()).connection;
-    backends.Opened(number, now);
+    backends.OnOpened(number, now);
     return number;
   }
 
@@ -99,8 +100,8 @@
   fixture.backends.SetConnectionLimit("group", 2);
   REQUIRE(fixture.backends.Open(backend, kStart));
   const Action opened = fixture.outbox.Take().back();
-  fixture.backends.OpenFailed(std::get<OpenConnection>(opened).connection, OpenFailure::kRejected,
-                              model::ErrorCode::kTooManyConnections, kStart);
+  fixture.backends.OnOpenFailed(std::get<OpenConnection>(opened).connection, OpenFailure::kRejected,
+                                model::ErrorCode::kTooManyConnections, kStart);
   CHECK_FALSE(fixture.backends.Open(backend, kStart + Duration(50'000)));
   CHECK(fixture.backends.Open(backend, kStart + Duration(100'000)));
 }
@@ -126,7 +127,7 @@
   CHECK(fixture.backends.MayOpenFor(backend, waiting));
   REQUIRE(fixture.backends.Open(backend, kStart));
   CHECK(fixture.backends.MayOpenFor(backend, waiting));
-  fixture.backends.SetMostOpening(1);
+  fixture.backends.SetMaxOpening(1);
   CHECK_FALSE(fixture.backends.MayOpenFor(backend, waiting));
 }
 
@@ -142,9 +143,9 @@
   CHECK(fixture.backends.IdsOf("group") == std::vector<std::string>{"i"});
   CHECK(fixture.backends.IdsOf("elsewhere") == std::vector<std::string>{"a"});
   CHECK(fixture.backends.IdsOf("nobody").empty());
-  fixture.backends.EntryGone("a", kStart);
+  fixture.backends.OnEntryRemoved("a", kStart);
   fixture.backends.SetConnectionLimit("elsewhere", 1, true);
-  fixture.backends.Find("a")->OpenFailed(kStart + kLong, true);
+  fixture.backends.Find("a")->OnOpenFailed(kStart + kLong, true);
   fixture.backends.Tick(kStart + 10 * kLong);
   CHECK(fixture.backends.IdsOf("elsewhere").empty());
 }
@@ -158,7 +159,7 @@
 TEST_CASE("An instance that is reached again after a break may have started again",
           "[proxy][warm_up]") {
   BackendFixture fixture(1, false);
-  fixture.backends.Closed(fixture.First(), kStart);
+  fixture.backends.OnClosed(fixture.First(), kStart);
   CHECK(fixture.lives.restarts == 0);
   fixture.OpenOne(kStart + Duration(50'000));
   CHECK(fixture.lives.restarts == 1);
@@ -172,8 +173,8 @@
   fixture.backends.Close(*fixture.backends.Find("i"), fixture.First());
   fixture.backends.SetConnectionLimit("group", 1);
   REQUIRE(fixture.backends.Open(*fixture.backends.Find("i"), kStart));
-  fixture.backends.OpenFailed(fixture.First(), OpenFailure::kRefused, model::ErrorCode::kFailed,
-                              kStart);
+  fixture.backends.OnOpenFailed(fixture.First(), OpenFailure::kRefused, model::ErrorCode::kFailed,
+                                kStart);
   fixture.OpenOne(kStart + kLong);
   CHECK(fixture.lives.restarts == 1);
 }
@@ -183,15 +184,15 @@
   BackendFixture fixture(2, true);
   const Instant broken = kStart + kLong;
   const ConnectionNumber lost = fixture.First();
-  fixture.backends.Closed(lost, broken);
+  fixture.backends.OnClosed(lost, broken);
   fixture.OpenOne(broken);
   REQUIRE(fixture.lives.restarts == 1);
-  fixture.backends.Control(
+  fixture.backends.QueueControlRequest(
       "i", {model::ControlKind::kStatus, 0}, [](const auto&, Instant) {}, broken);
   const ConnectionNumber asked = std::get<SendRequests>(fixture.outbox.Take().back()).connection;
   model::Reply reply;
   reply.succeeded = true;
-  fixture.backends.Answered(asked, reply, broken + Duration(1'000));
+  fixture.backends.OnAnswered(asked, reply, broken + Duration(1'000));
   CHECK(fixture.lives.same_lives == 1);
 }
 
@@ -229,14 +230,14 @@
   model::InstanceEntry entry = fixture.backends.Find("i")->Entry();
   entry.id = "other";
   fixture.backends.SetEntry(entry, kStart);
-  CHECK_FALSE(fixture.backends.IsSucceeded(*fixture.backends.Find("other")));
+  CHECK_FALSE(fixture.backends.HasSuccessor(*fixture.backends.Find("other")));
   fixture.outbox.Take();
   REQUIRE(fixture.backends.Open(*fixture.backends.Find("other"), kStart));
   const ConnectionNumber number = std::get<OpenConnection>(fixture.outbox.Take().back()).connection;
-  fixture.backends.OpenFailed(number, OpenFailure::kRejected, model::ErrorCode::kWrongInstance,
-                              kStart);
-  CHECK(fixture.backends.IsSucceeded(*fixture.backends.Find("other")));
-  CHECK_FALSE(fixture.backends.IsSucceeded(*fixture.backends.Find("i")));
+  fixture.backends.OnOpenFailed(number, OpenFailure::kRejected, model::ErrorCode::kWrongInstance,
+                                kStart);
+  CHECK(fixture.backends.HasSuccessor(*fixture.backends.Find("other")));
+  CHECK_FALSE(fixture.backends.HasSuccessor(*fixture.backends.Find("i")));
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/backend_test.cc
+++ b/tests/proxy/backend_test.cc
@@ -23,7 +23,7 @@
 
 void Answer(Backend& backend, Duration latency, int times) {
   for (int i = 0; i < times; ++i) {
-    backend.NoteSuccess(latency);
+    backend.RecordLatency(latency);
   }
 }
 
@@ -42,14 +42,14 @@
   // than it has slots for; patient reads of 22 ms took a third of them, and most others came late.
   Backend backend = MakeBackend();
   Answer(backend, kUsual, 100);
-  backend.NoteCrowdedOut(kImpatient, kStart);
-  CHECK_FALSE(backend.LeftToImpatient(kPatient, kStart));
+  backend.OnStarved(kImpatient, kStart);
+  CHECK_FALSE(backend.ReservedForMoreUrgent(kPatient, kStart));
   Answer(backend, kQueued, 20);
   CHECK(backend.Congested());
-  CHECK(backend.LeftToImpatient(kPatient, kStart));
-  CHECK_FALSE(backend.LeftToImpatient(kImpatient, kStart));
-  CHECK_FALSE(backend.LeftToImpatient({1, kPatient.target_latency}, kStart));
-  CHECK_FALSE(backend.LeftToImpatient(kPatient, kStart + Duration(200'000)));
+  CHECK(backend.ReservedForMoreUrgent(kPatient, kStart));
+  CHECK_FALSE(backend.ReservedForMoreUrgent(kImpatient, kStart));
+  CHECK_FALSE(backend.ReservedForMoreUrgent({1, kPatient.target_latency}, kStart));
+  CHECK_FALSE(backend.ReservedForMoreUrgent(kPatient, kStart + Duration(200'000)));
 }
 
 TEST_CASE("An instance that has been slow for long is not congested", "[proxy]") {
@@ -65,9 +65,9 @@
   Backend backend = MakeBackend();
   Answer(backend, kUsual, 100);
   AddInFlight(backend, 1);
-  CHECK(backend.HasRoom());
+  CHECK(backend.HasCapacity());
   Answer(backend, kQueued, 20);
-  CHECK_FALSE(backend.HasRoom());
+  CHECK_FALSE(backend.HasCapacity());
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/catalog_state_test.cc
+++ b/tests/proxy/catalog_state_test.cc
@@ -42,7 +42,7 @@
         calls[read->read.collection] = read->call;
       }
     }
-    return catalog.Answered(calls.at(collection), result, now, 0);
+    return catalog.OnAnswered(calls.at(collection), result, now, 0);
   }
 
   std::map<Collection, CallNumber> calls;
@@ -56,13 +56,13 @@
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 5, {Instance("i-1", 4)}});
   const CatalogUpdate update = fixture.Answer(
       Collection::kInstances, {ReadStatus::kOk, 9, {Instance("i-1", 7, true), Instance("i-1", 8)}});
-  CHECK(update.instances_gone.empty());
+  CHECK(update.removed_instances.empty());
   REQUIRE(update.instances.size() == 1);
   const CatalogUpdate other =
       fixture.Answer(Collection::kInstances,
                      {ReadStatus::kOk, 12, {Instance("i-1", 10), Instance("i-1", 11, true)}});
   CHECK(other.instances.empty());
-  CHECK(other.instances_gone == std::vector<std::string>{"i-1"});
+  CHECK(other.removed_instances == std::vector<std::string>{"i-1"});
 }
 
 TEST_CASE("An instance that drains goes on to do so when the store returns from an older copy",
@@ -93,11 +93,11 @@
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, {5, 1}, {object}});
   fixture.step = Duration(100'000);
   fixture.Answer(Collection::kInstances, {ReadStatus::kHistoryGone, {0, 2}, {}});
-  CHECK(
-      fixture.Answer(Collection::kInstances, {ReadStatus::kOk, {3, 2}, {}}).instances_gone.empty());
+  CHECK(fixture.Answer(Collection::kInstances, {ReadStatus::kOk, {3, 2}, {}})
+            .removed_instances.empty());
   fixture.now += metadata::kWrittenAgain;
   const CatalogUpdate later = fixture.Answer(Collection::kInstances, {ReadStatus::kOk, {3, 2}, {}});
-  CHECK(later.instances_gone == std::vector<std::string>{"i-1"});
+  CHECK(later.removed_instances == std::vector<std::string>{"i-1"});
 }
 
 TEST_CASE("The version in force never falls", "[proxy]") {
@@ -106,11 +106,11 @@
       fixture.Answer(Collection::kConfiguration, {ReadStatus::kOk, 5, {Version(4)}}).configuration);
   CatalogCopy older;
   older.configuration.version = 3;
-  CHECK_FALSE(fixture.catalog.TakeCopy(older).configuration);
+  CHECK_FALSE(fixture.catalog.ApplyCopy(older).configuration);
   CHECK(fixture.catalog.Configuration().version == 4);
   CatalogCopy newer;
   newer.configuration.version = 6;
-  CHECK(fixture.catalog.TakeCopy(newer).configuration);
+  CHECK(fixture.catalog.ApplyCopy(newer).configuration);
 }
 
 TEST_CASE("The first list drops what only another daemon's copy held", "[proxy]") {
@@ -119,10 +119,10 @@
   model::InstanceEntry stale;
   stale.id = "i-old";
   copy.instances.push_back(stale);
-  CHECK(fixture.catalog.TakeCopy(copy).instances.size() == 1);
+  CHECK(fixture.catalog.ApplyCopy(copy).instances.size() == 1);
   const CatalogUpdate update =
       fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 5, {Instance("i-1", 4)}});
-  CHECK(update.instances_gone == std::vector<std::string>{"i-old"});
+  CHECK(update.removed_instances == std::vector<std::string>{"i-old"});
 }
 
 TEST_CASE("An empty list of the leadership says that there is no record", "[proxy]") {
@@ -139,11 +139,11 @@
   fixture.catalog.Tick(fixture.now);
   fixture.outbox.Take();
   const common::Duration limit{500'000};
-  fixture.catalog.NoteRevisions({4, 4}, fixture.now + limit);
-  fixture.catalog.NoteRevisions({7, 7}, fixture.now + limit);
+  fixture.catalog.ApplyRevisions({4, 4}, fixture.now + limit);
+  fixture.catalog.ApplyRevisions({7, 7}, fixture.now + limit);
   fixture.catalog.Tick(fixture.now + limit);
   CHECK(fixture.outbox.Take().empty());
-  fixture.catalog.NoteRevisions({7, 7}, fixture.now + 2 * limit);
+  fixture.catalog.ApplyRevisions({7, 7}, fixture.now + 2 * limit);
   fixture.catalog.Tick(fixture.now + 2 * limit);
   std::size_t watches = 0;
   for (const Action& action : fixture.outbox.Take()) {
@@ -151,7 +151,7 @@
   }
   CHECK(watches == 2);
   // One that stays behind is not asked again at once.
-  fixture.catalog.NoteRevisions({8, 8}, fixture.now + 4 * limit);
+  fixture.catalog.ApplyRevisions({8, 8}, fixture.now + 4 * limit);
   fixture.catalog.Tick(fixture.now + 4 * limit);
   CHECK(fixture.outbox.Take().empty());
 }
@@ -183,9 +183,9 @@
   fixture.catalog.Tick(fixture.now);
   fixture.outbox.Take();
   REQUIRE(fixture.catalog.Connected());
-  fixture.catalog.NoteProbe(false);
+  fixture.catalog.OnProbeResult(false);
   CHECK(fixture.catalog.Connected());
-  fixture.catalog.NoteProbe(false);
+  fixture.catalog.OnProbeResult(false);
   CHECK_FALSE(fixture.catalog.Connected());
   // What it asks then shows soon whether the store is back.
   fixture.catalog.Tick(fixture.now);
@@ -197,7 +197,7 @@
   }
   CHECK(calls == 2);
   // The watches were sent while the store was silent: they may never be answered.
-  fixture.catalog.NoteProbe(true);
+  fixture.catalog.OnProbeResult(true);
   fixture.catalog.Tick(fixture.now);
   CHECK(fixture.outbox.Take().size() >= 2);
 }
@@ -223,10 +223,10 @@
   CHECK(fixture.catalog.Connected());
   fixture.catalog.Tick(fixture.now);
   CHECK(fixture.outbox.Take().empty());
-  fixture.catalog.NoteRevisions({5, 7}, fixture.now);
+  fixture.catalog.ApplyRevisions({5, 7}, fixture.now);
   fixture.catalog.Tick(fixture.now);
   CHECK(fixture.outbox.Take().empty());
-  fixture.catalog.NoteRevisions({9, 7}, fixture.now);
+  fixture.catalog.ApplyRevisions({9, 7}, fixture.now);
   fixture.catalog.Tick(fixture.now);
   CHECK(fixture.outbox.Take().size() == 1);
   // It owns a service now, or serves a session itself.
@@ -252,7 +252,7 @@
         ++calls;
         CHECK(read->read.collection != Collection::kInstances);
         CHECK(passed >= common::Duration(500'000));
-        catalog.Answered(read->call, {ReadStatus::kOk, 5, {}}, start + passed, 0);
+        catalog.OnAnswered(read->call, {ReadStatus::kOk, 5, {}}, start + passed, 0);
       }
     }
   }
@@ -266,8 +266,8 @@
   fixture.catalog.SetInterest({false, true, true, true, true});
   fixture.Answer(Collection::kConfiguration, {ReadStatus::kOk, 5, {Version(3)}});
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 5, {Instance("i-1", 4)}});
-  fixture.catalog.NoteProbe(false);
-  fixture.catalog.NoteProbe(false);
+  fixture.catalog.OnProbeResult(false);
+  fixture.catalog.OnProbeResult(false);
   REQUIRE_FALSE(fixture.catalog.Connected());
   fixture.catalog.SetInterest({false, true, false, true, true});
   fixture.Answer(Collection::kConfiguration, {ReadStatus::kOk, 6, {}});
@@ -282,12 +282,12 @@
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 9, {Instance("i-1", 4, true)}});
   CHECK(fixture.catalog.Revisions().instances == 9);
   // Another daemon's watch was answered a little later, at a later revision of the store.
-  fixture.catalog.NoteRevisions({0, 11}, fixture.now);
+  fixture.catalog.ApplyRevisions({0, 11}, fixture.now);
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 12, {}});
   fixture.catalog.Tick(fixture.now);
   fixture.outbox.Take();
   const common::Duration limit{500'000};
-  fixture.catalog.NoteRevisions({0, 11}, fixture.now + 2 * limit);
+  fixture.catalog.ApplyRevisions({0, 11}, fixture.now + 2 * limit);
   fixture.catalog.Tick(fixture.now + 2 * limit);
   CHECK(fixture.outbox.Take().empty());
 }
--- a/tests/proxy/configuration_prover_test.cc
+++ b/tests/proxy/configuration_prover_test.cc
@@ -26,7 +26,7 @@
     const auto before = admission.proof().newest();
     for (const Action& action : outbox.Take()) {
       if (const auto* read = std::get_if<ReadConfiguration>(&action)) {
-        prover.Read(read->call, 3, catalog);
+        prover.OnReadAnswered(read->call, 3, catalog);
       }
     }
     const auto after = admission.proof().newest();
@@ -46,10 +46,10 @@
   // A version that withdrew a key was acknowledged, and the store returned from a copy without it.
   // Until the operator's version is written again, a read shows the one before as the newest.
   ProverFixture fixture;
-  fixture.catalog.NoteEra(1, "store", kStart);
+  fixture.catalog.ApplyEra(1, "store", kStart);
   CHECK(fixture.Proves(kStart));
   const Instant returned = kStart + std::chrono::seconds(2);
-  fixture.catalog.NoteEra(2, "store", returned);
+  fixture.catalog.ApplyEra(2, "store", returned);
   CHECK_FALSE(fixture.Proves(returned));
   CHECK_FALSE(fixture.Proves(returned + Duration(metadata::kWrittenAgain / 2)));
   CHECK(fixture.Proves(returned + metadata::kWrittenAgain));
@@ -62,7 +62,7 @@
   // ("in_use_before_ms=1014" where it had been evacuated for 2 s), and work went there past the
   // limit.
   ProverFixture fixture;
-  fixture.catalog.NoteEra(4, "store", kStart);
+  fixture.catalog.ApplyEra(4, "store", kStart);
   REQUIRE(fixture.Proves(kStart));
   CHECK(fixture.admission.proof().newest()->read_at == kStart - metadata::kWrittenAgain);
   REQUIRE(fixture.Proves(kStart + metadata::kWrittenAgain));
--- a/tests/proxy/dispatcher_access_test.cc
+++ b/tests/proxy/dispatcher_access_test.cc
@@ -83,7 +83,7 @@
     }
     for (const OpenConnection& opened : Taken<OpenConnection>()) {
       connections[opened.instance] = opened.connection;
-      backends.Opened(opened.connection, kStart);
+      backends.OnOpened(opened.connection, kStart);
     }
     outbox.Take();
   }
@@ -208,8 +208,8 @@
   reply.state = model::TransactionState::kOpen;
   const ConnectionNumber connection = fixture.SentTo();
   REQUIRE(connection == fixture.connections["p"]);
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
@@ -232,13 +232,13 @@
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
   const ConnectionNumber connection = fixture.SentTo();
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.Ask(model::CommandKind::kRead);
   model::Reply failure;
   failure.error = model::ErrorCode::kFailed;
   failure.state = model::TransactionState::kFailed;
-  fixture.backends.Answered(connection, failure, kStart);
+  fixture.backends.OnAnswered(connection, failure, kStart);
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
@@ -256,14 +256,14 @@
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
   const ConnectionNumber connection = fixture.SentTo();
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.Ask(model::CommandKind::kRead);
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const common::Instant late = kStart + 700 * kMillisecond;
-  fixture.backends.Answered(connection, reply, late);
+  fixture.backends.OnAnswered(connection, reply, late);
   fixture.dispatcher.Tick(late + kMillisecond);
   const std::vector<Action> actions = fixture.outbox.Take();
   const auto is = [&](auto* kind) {
@@ -289,14 +289,14 @@
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN; the READ goes out
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN; the READ goes out
   fixture.outbox.Take();
   fixture.rule.verdicts[instance] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   model::Reply refusal;
   refusal.error = model::ErrorCode::kBusy;
   refusal.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, refusal, kStart + 90 * kMillisecond);
+  fixture.backends.OnAnswered(connection, refusal, kStart + 90 * kMillisecond);
   fixture.dispatcher.Tick(kStart + 100 * kMillisecond);
   for (const SendRequests& sent : fixture.Taken<SendRequests>()) {
     CHECK(sent.connection != connection);
@@ -318,7 +318,7 @@
   model::Reply reply;
   reply.succeeded = true;
   for (std::size_t answer = 0; answer < prepared.front().requests.size(); ++answer) {
-    fixture.backends.Answered(first, reply, kStart + kMillisecond);
+    fixture.backends.OnAnswered(first, reply, kStart + kMillisecond);
   }
   fixture.dispatcher.Tick(kStart + 10 * kMillisecond);
   for (const SendRequests& sent : fixture.Taken<SendRequests>()) {
@@ -337,7 +337,7 @@
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, reply, kStart);
+  fixture.backends.OnAnswered(connection, reply, kStart);
   CHECK(fixture.SentTo() == connection);
   CHECK(fixture.rule.sent["p"] == 2);
 }
@@ -399,14 +399,14 @@
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.rule.verdicts["p"] = access::verdict::later;
   fixture.rule.come_back = kMillisecond;
   fixture.Ask(model::CommandKind::kCommit);
   fixture.outbox.Take();
   fixture.rule.verdicts.clear();
-  fixture.backends.Closed(connection, kStart + kMillisecond);
+  fixture.backends.OnClosed(connection, kStart + kMillisecond);
   fixture.dispatcher.Tick(kStart + 2 * kMillisecond);
   std::size_t sent = 0;
   std::optional<model::Reply> answer;
--- a/tests/proxy/dispatcher_regions_test.cc
+++ b/tests/proxy/dispatcher_regions_test.cc
@@ -92,7 +92,7 @@
       for (const Action& action : actions) {
         if (const auto* opening = std::get_if<OpenConnection>(&action)) {
           instances[opening->connection] = opening->instance;
-          backends.Opened(opening->connection, kStart);
+          backends.OnOpened(opening->connection, kStart);
         } else if (const auto* request = std::get_if<SendRequests>(&action)) {
           sent.push_back(*request);
         }
@@ -110,8 +110,8 @@
     model::Reply reply;
     reply.succeeded = true;
     reply.state = model::TransactionState::kOpen;
-    backends.Answered(connection, reply, kStart);  // BEGIN
-    backends.Answered(connection, reply, kStart);  // READ
+    backends.OnAnswered(connection, reply, kStart);  // BEGIN
+    backends.OnAnswered(connection, reply, kStart);  // READ
     outbox.Take();
   }
 
--- a/tests/proxy/dispatcher_tenants_test.cc
+++ b/tests/proxy/dispatcher_tenants_test.cc
@@ -148,12 +148,12 @@
   fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
   const auto opened = fixture.Taken<OpenConnection>();
   REQUIRE(opened.size() == 1);
-  fixture.backends.Opened(opened.front().connection, kStart);
+  fixture.backends.OnOpened(opened.front().connection, kStart);
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(opened.front().connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(opened.front().connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(opened.front().connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(opened.front().connection, reply, kStart);  // READ
   fixture.configuration.version = 2;
   fixture.configuration.tenants.erase("north");
   fixture.Configure(kStart);
@@ -190,7 +190,7 @@
   const auto of_south = fixture.Taken<OpenConnection>();
   REQUIRE(of_south.size() == 1);
   CHECK(of_south.front().tenant == "south");
-  fixture.backends.Opened(of_south.front().connection, kStart);
+  fixture.backends.OnOpened(of_south.front().connection, kStart);
   const auto sent = fixture.Taken<SendRequests>();
   REQUIRE(sent.size() == 1);
   CHECK(sent.front().connection == of_south.front().connection);
@@ -204,13 +204,13 @@
   fixture.Ask(kNorth, model::CommandKind::kRead, kStart);
   const auto opened = fixture.Taken<OpenConnection>();
   REQUIRE(opened.size() == 1);
-  fixture.backends.Opened(opened.front().connection, kStart);
+  fixture.backends.OnOpened(opened.front().connection, kStart);
   // While it is at work nothing makes room.
   fixture.Ask(kSouth, model::CommandKind::kRead, kStart);
   CHECK(fixture.Taken<OpenConnection>().empty());
   model::Reply reply;
   reply.succeeded = true;
-  fixture.backends.Answered(opened.front().connection, reply, kStart);
+  fixture.backends.OnAnswered(opened.front().connection, reply, kStart);
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const std::vector<Action> actions = fixture.outbox.Take();
   std::size_t closed = 0;
@@ -259,7 +259,7 @@
   fixture.configuration.version = 2;
   fixture.configuration.tenants.erase("north");
   fixture.Configure(kStart);
-  fixture.backends.Opened(opened.front().connection, kStart);
+  fixture.backends.OnOpened(opened.front().connection, kStart);
   CHECK(fixture.Taken<SendRequests>().empty());
   fixture.dispatcher.Tick(kStart + kMillisecond);
   CHECK(fixture.ErrorAnswered() == model::ErrorCode::kDenied);
@@ -274,12 +274,12 @@
   const auto opened = fixture.Taken<OpenConnection>();
   REQUIRE(opened.size() == 1);
   const ConnectionNumber number = opened.front().connection;
-  fixture.backends.Opened(number, kStart);
+  fixture.backends.OnOpened(number, kStart);
   model::Reply lagging;
   lagging.error = model::ErrorCode::kLagging;
   int answered = 0;
   for (; answered < kMostAnswers && fixture.Taken<AnswerCaller>().empty(); ++answered) {
-    fixture.backends.Answered(number, lagging, kStart);
+    fixture.backends.OnAnswered(number, lagging, kStart);
   }
   REQUIRE(answered < kMostAnswers);
   const Connection* connection = fixture.backends.FindConnection(number);
--- a/tests/proxy/dispatcher_waiting_test.cc
+++ b/tests/proxy/dispatcher_waiting_test.cc
@@ -81,7 +81,7 @@
     reply.succeeded = true;
     const ConnectionNumber connection = *running.begin();
     running.erase(running.begin());
-    backends.Answered(connection, reply, now);
+    backends.OnAnswered(connection, reply, now);
     NoteActions();
   }
 
@@ -124,7 +124,7 @@
       }
     }
     for (const ConnectionNumber connection : std::exchange(opening, {})) {
-      backends.Opened(connection, now);
+      backends.OnOpened(connection, now);
       NoteActions();
     }
   }
--- a/tests/proxy/group_set_test.cc
+++ b/tests/proxy/group_set_test.cc
@@ -15,7 +15,8 @@
 
 class NoObserver : public ConnectionObserver {
  public:
-  void OnAnswer(Backend&, Connection&, const Outstanding&, const model::Reply&, Instant) override {}
+  void OnAnswer(Backend&, Connection&, const OutstandingRequest&, const model::Reply&,
+                Instant) override {}
   void OnLost(Backend&, Connection&, Instant) override {}
   void OnCapacity(Instant) override {}
 };
@@ -34,7 +35,7 @@
     backends.SetConnectionLimit("group", 2);
     groups.SetRegistered(true);
     groups.Get("group", kStart).lease.Renew({1, "p", kStart});
-    groups.NoteMembersKnown(kStart);
+    groups.RecordMembersKnown(kStart);
   }
 
   /// Opens a connection to each instance.
@@ -45,14 +46,14 @@
       if (backend.Connections().empty()) {
         REQUIRE(backends.Open(backend, at));
       }
-      backends.Opened(backend.Connections().begin()->first, at);
+      backends.OnOpened(backend.Connections().begin()->first, at);
     }
   }
 
   /// Lets an instance end: unlisted and unreachable.
   void End(const std::string& id, Instant at) {
-    backends.EntryGone(id, at);
-    backends.Find(id)->OpenFailed(at, true);
+    backends.OnEntryRemoved(id, at);
+    backends.Find(id)->OnOpenFailed(at, true);
   }
 
   ProxySettings settings;
@@ -76,8 +77,8 @@
   // were no majority of the four that had ever been there, and the new primary was never believed.
   GroupFixture fixture;
   fixture.End("b", kStart);
-  CHECK(fixture.groups.Present("group", kStart).size() == 3);
-  CHECK(fixture.groups.Present("group", kStart + kLongAgo).size() == 2);
+  CHECK(fixture.groups.QuorumMembers("group", kStart).size() == 3);
+  CHECK(fixture.groups.QuorumMembers("group", kStart + kLongAgo).size() == 2);
 }
 
 TEST_CASE("A replica that ended counts until a position of the primary covers it", "[proxy]") {
@@ -85,10 +86,10 @@
   fixture.End("b", kStart);
   fixture.groups.Tick(kStart);
   CHECK(fixture.groups.Replicas("group", kStart + kLongAgo).size() == 2);
-  fixture.groups.NotePosition("group", "p", Position{1, 40}, kStart + Duration(1));
+  fixture.groups.RecordPosition("group", "p", Position{1, 40}, kStart + Duration(1));
   fixture.groups.Tick(kStart + Duration(2));
   CHECK(fixture.groups.Replicas("group", kStart + kLongAgo).size() == 1);
-  CHECK(fixture.groups.Find("group")->floor == Position{1, 40});
+  CHECK(fixture.groups.Find("group")->minimum_position == Position{1, 40});
 }
 
 TEST_CASE("An instance whose address another of its service has taken counts no more", "[proxy]") {
@@ -123,7 +124,7 @@
   // replica yet and replaced it again 1.6 s later.
   GroupFixture fixture;
   const Instant settled = kStart + Duration(2'000'000);
-  fixture.backends.Find("a")->OpenFailed(settled, true);
+  fixture.backends.Find("a")->OnOpenFailed(settled, true);
   PeerMessage message;
   message.name = "other";
   GroupReport report;
@@ -133,17 +134,17 @@
   report.confirmation_age = Duration(0);
   message.groups.push_back(report);
   const Instant learned = settled + Duration(10'000);
-  fixture.groups.TakeReports(message, learned);
+  fixture.groups.ApplyReports(message, learned);
   fixture.groups.Tick(learned + Duration(20'000));
-  CHECK_FALSE(fixture.groups.Find("group")->lost);
+  CHECK_FALSE(fixture.groups.Find("group")->primary_suspected);
   fixture.groups.Tick(learned + Duration(1'300'000));
-  CHECK(fixture.groups.Find("group")->lost);
+  CHECK(fixture.groups.Find("group")->primary_suspected);
   // One that falls silent once it leads is lost at once.
   GroupFixture other;
-  other.groups.TakeReports(message, settled);
-  other.backends.Find("a")->OpenFailed(learned, true);
+  other.groups.ApplyReports(message, settled);
+  other.backends.Find("a")->OnOpenFailed(learned, true);
   other.groups.Tick(learned + Duration(20'000));
-  CHECK(other.groups.Find("group")->lost);
+  CHECK(other.groups.Find("group")->primary_suspected);
 }
 
 TEST_CASE("A peer's fence ends the lease for good", "[proxy]") {
@@ -154,9 +155,9 @@
   report.service = "group";
   report.fence_below = 2;
   message.groups.push_back(report);
-  CHECK(fixture.groups.TakeReports(message, std::nullopt));
+  CHECK(fixture.groups.ApplyReports(message, std::nullopt));
   CHECK(fixture.groups.UsablePrimary("group", kStart).empty());
-  CHECK_FALSE(fixture.groups.TakeReports(message, std::nullopt));
+  CHECK_FALSE(fixture.groups.ApplyReports(message, std::nullopt));
   fixture.groups.RenewFromRecord({}, kStart);
   CHECK(fixture.groups.UsablePrimary("group", kStart).empty());
 }
@@ -169,7 +170,7 @@
   fixture.backends.SetConnectionLimit("group", 0, false);
   fixture.groups.Tick(kStart + kLongAgo);
   CHECK(fixture.groups.Reports(false, kStart + kLongAgo).empty());
-  fixture.groups.ReleaseBelow(fixture.groups.Get("group", kStart), 2);
+  fixture.groups.ReleaseTermsBelow(fixture.groups.Get("group", kStart), 2);
   CHECK(fixture.groups.Reports(false, kStart + kLongAgo).size() == 1);
 }
 
@@ -193,7 +194,7 @@
   backends.Open(*backends.Find("p"), kStart);
   const auto opened = outbox.Take();
   const ConnectionNumber connection = std::get<OpenConnection>(opened.back()).connection;
-  backends.Opened(connection, kStart);
+  backends.OnOpened(connection, kStart);
   groups.SetRegistered(true);
   groups.Get("group", kStart);
   backends.SetConnectionLimit("group", 1, false);
@@ -207,23 +208,23 @@
   reply.status->primary = true;
   reply.status->term = 1;
   const auto ask = [&](Instant now) {
-    groups.AskNow("group", now);
+    groups.StartRoundNow("group", now);
     const auto actions = outbox.Take();
     const bool asked = std::any_of(actions.begin(), actions.end(), [](const Action& action) {
       return std::holds_alternative<SendRequests>(action);
     });
     if (asked) {
-      backends.Answered(connection, reply, now);
+      backends.OnAnswered(connection, reply, now);
     }
     return asked;
   };
   CHECK_FALSE(ask(kStart));
-  CHECK(groups.LacksMembers());
-  groups.NoteMembersKnown(kStart - Duration(1));
+  CHECK(groups.MembersIncomplete());
+  groups.RecordMembersKnown(kStart - Duration(1));
   CHECK_FALSE(ask(kStart + Duration(200'000)));
   CHECK(groups.UsablePrimary("group", kStart + Duration(200'000)).empty());
-  groups.NoteMembersKnown(kStart);
-  CHECK_FALSE(groups.LacksMembers());
+  groups.RecordMembersKnown(kStart);
+  CHECK_FALSE(groups.MembersIncomplete());
   CHECK(ask(kStart + Duration(200'000)));
   CHECK(groups.UsablePrimary("group", kStart + Duration(200'000)) == "p");
 }
@@ -235,57 +236,57 @@
   fixture.groups.Find("group")->members_known = false;
   fixture.groups.Tick(kStart);
   fixture.groups.Tick(kStart + kLongAgo);
-  CHECK_FALSE(fixture.groups.Find("group")->lost);
-  fixture.groups.NoteMembersKnown(kStart + kLongAgo);
+  CHECK_FALSE(fixture.groups.Find("group")->primary_suspected);
+  fixture.groups.RecordMembersKnown(kStart + kLongAgo);
   fixture.groups.Tick(kStart + kLongAgo);
-  CHECK(fixture.groups.Find("group")->lost);
+  CHECK(fixture.groups.Find("group")->primary_suspected);
 }
 
 TEST_CASE("Who has yet to connect takes no primary for lost for want of a lease", "[proxy]") {
   GroupFixture fixture;
   fixture.groups.Tick(kStart);
   fixture.groups.Tick(kStart + kLongAgo);
-  CHECK_FALSE(fixture.groups.Find("group")->lost);
+  CHECK_FALSE(fixture.groups.Find("group")->primary_suspected);
   fixture.ConnectAll(kStart + kLongAgo);
   fixture.groups.Tick(kStart + kLongAgo + kLongAgo);
-  CHECK(fixture.groups.Find("group")->lost);
+  CHECK(fixture.groups.Find("group")->primary_suspected);
 }
 
 TEST_CASE("A primary that has started again under its id is let go of, and counts as lost",
           "[proxy]") {
   GroupFixture fixture;
   const Instant later = kStart + Duration(100'000);
-  fixture.groups.MemberRestarted(fixture.backends.Find("p")->Entry(), later);
+  fixture.groups.OnMemberRestarted(fixture.backends.Find("p")->Entry(), later);
   CHECK(fixture.groups.UsablePrimary("group", later).empty());
   fixture.groups.Tick(later + kLongAgo);
-  CHECK(fixture.groups.Find("group")->lost);
+  CHECK(fixture.groups.Find("group")->primary_suspected);
 }
 
 TEST_CASE("What a restarted replica held counts as lost until the primary has told its position",
           "[proxy]") {
   GroupFixture fixture;
   const Instant later = kStart + Duration(100'000);
-  fixture.groups.MemberRestarted(fixture.backends.Find("a")->Entry(), later);
+  fixture.groups.OnMemberRestarted(fixture.backends.Find("a")->Entry(), later);
   fixture.groups.Tick(later);
-  CHECK(fixture.groups.LostLogs("group") == 1);
-  fixture.groups.NotePosition("group", "p", Position{1, 40}, later - Duration(1));
+  CHECK(fixture.groups.LogLossCount("group") == 1);
+  fixture.groups.RecordPosition("group", "p", Position{1, 40}, later - Duration(1));
   fixture.groups.Tick(later);
-  CHECK(fixture.groups.LostLogs("group") == 1);
-  fixture.groups.NotePosition("group", "p", Position{1, 41}, later);
+  CHECK(fixture.groups.LogLossCount("group") == 1);
+  fixture.groups.RecordPosition("group", "p", Position{1, 41}, later);
   fixture.groups.Tick(later);
-  CHECK(fixture.groups.LostLogs("group") == 0);
-  CHECK(fixture.groups.Find("group")->floor == Position{1, 41});
+  CHECK(fixture.groups.LogLossCount("group") == 0);
+  CHECK(fixture.groups.Find("group")->minimum_position == Position{1, 41});
 }
 
 TEST_CASE("A primary that says less than it said before is not taken at its word", "[proxy]") {
   GroupFixture fixture;
   GroupState& group = *fixture.groups.Find("group");
-  fixture.groups.NotePosition("group", "p", Position{1, 40}, kStart + Duration(10));
-  REQUIRE(group.KnownOfPrimary() == Position{1, 40});
-  fixture.groups.NotePosition("group", "p", Position{1, 0}, kStart + Duration(20));
-  CHECK(group.KnownOfPrimary() == Position{1, 40});
+  fixture.groups.RecordPosition("group", "p", Position{1, 40}, kStart + Duration(10));
+  REQUIRE(group.PrimaryPosition() == Position{1, 40});
+  fixture.groups.RecordPosition("group", "p", Position{1, 0}, kStart + Duration(20));
+  CHECK(group.PrimaryPosition() == Position{1, 40});
   group.lease.Renew({2, "a", kStart + Duration(30)});
-  CHECK_FALSE(group.KnownOfPrimary());
+  CHECK_FALSE(group.PrimaryPosition());
 }
 
 TEST_CASE("A record that went back with the store renews no lease before the group was asked",
--- a/tests/proxy/peer_table_test.cc
+++ b/tests/proxy/peer_table_test.cc
@@ -33,8 +33,8 @@
   group.term = 2;
   group.primary = "i-1";
   group.confirmation_age = Duration(1234);
-  group.floor = {1, 40};
-  group.replicas = 2;
+  group.minimum_position = {1, 40};
+  group.replica_count = 2;
   group.released_below = 3;
   message.groups.push_back(group);
   const std::string bytes = EncodePeerMessage(message);
@@ -47,7 +47,7 @@
   REQUIRE(read.groups.size() == 1);
   CHECK(read.groups[0].confirmation_age == Duration(1234));
   CHECK_FALSE(read.groups[0].sample_age);
-  CHECK(read.groups[0].floor == common::Position{1, 40});
+  CHECK(read.groups[0].minimum_position == common::Position{1, 40});
   CHECK(read.groups[0].released_below == 3);
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     CHECK_FALSE(common::IsOk(DecodePeerMessage(bytes.substr(0, size))));
@@ -58,7 +58,7 @@
   PeerTable table("a", 1);
   table.Add(kOther);
   PeerMessage out;
-  table.Stamp(table.All().at(kOther), out, kStart);
+  table.FillHeader(table.All().at(kOther), out, kStart);
   PeerMessage in = From("b", 9, 1);
   in.echoed = out.sequence;
   in.echoed_incarnation = 1;
@@ -71,7 +71,7 @@
   PeerTable table("a", 2);
   table.Add(kOther);
   PeerMessage out;
-  table.Stamp(table.All().at(kOther), out, kStart);
+  table.FillHeader(table.All().at(kOther), out, kStart);
   PeerMessage in = From("b", 9, 1);
   in.echoed = out.sequence;
   in.echoed_incarnation = 1;
@@ -85,7 +85,7 @@
   table.Receive(kOther, From("b", 8, 99), kStart);
   CHECK(table.All().at(kOther).highest_sequence == 5);
   // A life with a lower number is taken once the other has been silent.
-  table.Receive(kOther, From("b", 8, 1), kStart + kPeerSilence);
+  table.Receive(kOther, From("b", 8, 1), kStart + kPeerTimeout);
   CHECK(table.All().at(kOther).incarnation == 8);
 }
 
@@ -93,7 +93,7 @@
   PeerTable table("a", 1);
   table.Receive(kOther, From("b", 9, 1), kStart);
   CHECK(table.LiveNames(kStart) == std::vector<std::string>{"b"});
-  CHECK(table.LiveNames(kStart + kPeerSilence).empty());
+  CHECK(table.LiveNames(kStart + kPeerTimeout).empty());
   PeerMessage stopping = From("b", 9, 2);
   stopping.stopping = true;
   table.Receive(kOther, stopping, kStart);
--- a/tests/proxy/read_placement_test.cc
+++ b/tests/proxy/read_placement_test.cc
@@ -103,7 +103,7 @@
           "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
-  fixture.backends.Find("a")->NoteLagging(Duration(1'400'000), true, kStart);
+  fixture.backends.Find("a")->OnLaggingRead(Duration(1'400'000), true, kStart);
   const auto places = fixture.Candidates(Bounded(kStart), kStart + Duration(1'000));
   REQUIRE(places.size() == 3);
   CHECK(places.back().instance == "a");
@@ -115,11 +115,11 @@
           "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
-  fixture.backends.EntryGone("a", kStart);
+  fixture.backends.OnEntryRemoved("a", kStart);
   const auto places = fixture.Candidates(Bounded(kStart), kStart);
   CHECK(places.size() == 2);
   for (const std::string id : {"b", "p"}) {
-    fixture.backends.EntryGone(id, kStart);
+    fixture.backends.OnEntryRemoved(id, kStart);
   }
   CHECK(fixture.Candidates(Bounded(kStart), kStart).size() == 3);
   CHECK(fixture.Candidates(Bounded(kStart), kStart + fixture.settings.drain_limit).empty());
--- a/tests/proxysim/restart_test.cc
+++ b/tests/proxysim/restart_test.cc
@@ -93,7 +93,7 @@
 TEST_CASE("What a restarted replica held alone is not taken for held by none", "[proxysim]") {
   CHECK(CommitsLost({}) == 0);
   proxy::Mechanisms without;
-  without.instance_lives = false;
+  without.instance_incarnations = false;
   CHECK(CommitsLost(without) > 0);
 }
 
@@ -101,7 +101,7 @@
           "[proxysim]") {
   CHECK(StaleReads({}) == 0);
   proxy::Mechanisms without;
-  without.instance_lives = false;
+  without.instance_incarnations = false;
   without.required_positions = false;
   CHECK(StaleReads(without) > 0);
 
