--- a/src/proxy/backend.cc
+++ b/src/proxy/backend.cc
@@ -7,20 +7,22 @@
 namespace valvekeel::proxy {
 namespace {
 
-constexpr common::Duration kSilence{250'000};
+constexpr common::Duration kUnresponsiveLimit{250'000};
 constexpr common::Duration kReopenPause{100'000};
-constexpr double kLatencyWeight = 0.1;  // of the newest value
-/// Weights of the newest value in the usual latency: it rises slowly, so that a queue is not usual.
-constexpr double kFallWeight = 0.05;
-constexpr double kRiseWeight = 0.0005;
+constexpr double kLatencyWeight = 0.1;  // weight of the newest value
+/// Weights of the newest value in the baseline latency. The baseline rises slowly, so that a queue
+/// does not become the baseline.
+constexpr double kBaselineFallWeight = 0.05;
+constexpr double kBaselineRiseWeight = 0.0005;
 constexpr double kCongestedRatio = 3;
-constexpr double kInFlightPerSlot = 2;  // at the start and at most
-constexpr double kBusyFactor = 0.8;     // of the limit after a refusal
-constexpr double kSuccessStep = 0.05;   // added to the limit by an answer
-/// Time for which an instance is left to impatient operations after one of them was crowded out.
-constexpr common::Duration kCrowdedTime{100'000};
-/// Ratio of target latencies from which on an operation counts as clearly more patient.
-constexpr std::ratio<5, 4> kPatientRatio;
+constexpr double kInFlightPerSlot = 2;  // initial and maximum limit
+constexpr double kBusyFactor = 0.8;     // factor for the limit after a refusal
+constexpr double kSuccessStep = 0.05;   // added to the limit by each answer
+/// Time for which an instance is reserved for more urgent operations after one of them found no
+/// free slot.
+constexpr common::Duration kStarvationTime{100'000};
+/// Ratio of target latencies above which an operation counts as clearly less urgent.
+constexpr std::ratio<5, 4> kLessUrgentRatio;
 constexpr common::Duration kShortestBusyPause{4'000};
 constexpr common::Duration kLongestBusyPause{64'000};
 constexpr common::Duration kShortestLaggingPause{20'000};
@@ -109,15 +111,15 @@
 
 void Backend::OnOpenFailed(common::Instant now, bool refused) {
   open_not_before_ = now + kReopenPause;
-  const bool silent = now >= last_contact_ + kSilence;
-  if ((refused || silent) && !unreachable_since_) {
+  const bool unresponsive = now >= last_contact_ + kUnresponsiveLimit;
+  if ((refused || unresponsive) && !unreachable_since_) {
     unreachable_since_ = now;
   }
 }
 
 void Backend::OnProbeFailed(common::Instant now) {
-  const bool silent = now >= last_contact_ + kSilence;
-  if (silent && !unreachable_since_) {
+  const bool unresponsive = now >= last_contact_ + kUnresponsiveLimit;
+  if (unresponsive && !unreachable_since_) {
     unreachable_since_ = now;
   }
 }
@@ -128,7 +130,7 @@
       continue;
     }
     const common::Instant since = std::max(connection.outstanding.front().sent, last_contact_);
-    if (now >= since + kSilence) {
+    if (now >= since + kUnresponsiveLimit) {
       return true;
     }
   }
@@ -138,8 +140,9 @@
 void Backend::RecordLatency(common::Duration latency) {
   const auto microseconds = static_cast<double>(latency.count());
   latency_us_ += kLatencyWeight * (microseconds - latency_us_);
-  baseline_latency_us_ += (latency_us_ < baseline_latency_us_ ? kFallWeight : kRiseWeight) *
-                          (latency_us_ - baseline_latency_us_);
+  baseline_latency_us_ +=
+      (latency_us_ < baseline_latency_us_ ? kBaselineFallWeight : kBaselineRiseWeight) *
+      (latency_us_ - baseline_latency_us_);
   in_flight_limit_ =
       std::min(kInFlightPerSlot * std::max(1U, entry_.slots), in_flight_limit_ + kSuccessStep);
   busy_pause_ = common::Duration(0);
@@ -147,7 +150,7 @@
 
 void Backend::OnBusy(common::Instant now) {
   if (now < avoid_until_) {
-    return;  // another answer of the same moment
+    return;  // another refusal during the same pause
   }
   in_flight_limit_ = std::max(kMinInFlight, in_flight_limit_ * kBusyFactor);
   busy_pause_ = std::clamp(busy_pause_ * 2, kShortestBusyPause, kLongestBusyPause);
@@ -157,22 +160,23 @@
 bool Backend::Congested() const { return latency_us_ > kCongestedRatio * baseline_latency_us_; }
 
 void Backend::OnStarved(const Urgency& urgency, common::Instant now) {
-  const bool tighter = urgency.target_latency < starved_urgency_.target_latency;
-  if (now >= starved_until_ || tighter) {
+  const bool more_urgent = urgency.target_latency < starved_urgency_.target_latency;
+  if (now >= starved_until_ || more_urgent) {
     starved_urgency_ = urgency;
   }
-  starved_until_ = now + kCrowdedTime;
+  starved_until_ = now + kStarvationTime;
 }
 
 bool Backend::ReservedForMoreUrgent(const Urgency& urgency, common::Instant now) const {
-  const bool crowded = now < starved_until_ && urgency.priority == starved_urgency_.priority;
-  const bool patient = urgency.target_latency * kPatientRatio.den >
-                       starved_urgency_.target_latency * kPatientRatio.num;
-  return crowded && patient && Congested();
+  const bool starved = now < starved_until_ && urgency.priority == starved_urgency_.priority;
+  const bool less_urgent = urgency.target_latency * kLessUrgentRatio.den >
+                           starved_urgency_.target_latency * kLessUrgentRatio.num;
+  return starved && less_urgent && Congested();
 }
 
 common::Duration Backend::LagEstimate(common::Instant now) const {
-  // What was true a while ago is tried again: the estimate halves with time.
+  // The estimate halves every kLagHalfLife, so that an instance that may have caught up is tried
+  // again.
   const auto halvings = static_cast<double>((now - requirement_refused_at_).count()) /
                         static_cast<double>(kLagHalfLife.count());
   return common::Duration(static_cast<std::int64_t>(
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -1,8 +1,8 @@
-// One instance as this daemon sees it: its connections and its health.
+// Holds one instance's state in this daemon: its connections, health, load and replication lag.
 //
-// Owns: the connections to the instance with what is in force on each. Invariant: a connection is
-// handed out only if it is open, has no request outstanding, holds no transaction and belongs to no
-// session. Pure. Thread: its host's.
+// Owns: the connections to the instance with the session values in force on each. Invariant: a
+// connection is handed out only if it is open, has no request outstanding, holds no transaction and
+// belongs to no session. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -25,12 +25,12 @@
 /// Session values by name.
 using SessionValues = std::map<std::string, std::string>;
 
-/// What an outstanding request is for.
+/// Purpose of an outstanding request.
 enum class Purpose : std::uint8_t {
   kStatement,    // a caller's command
-  kPreparation,  // brings the connection to the caller's state
+  kPreparation,  // sets the connection to the session's state
   kControl,      // a control request
-  kCleanup,      // rolls back what nobody waits for
+  kCleanup,      // rolls back an abandoned transaction
 };
 
 /// Number of a control request.
@@ -44,35 +44,35 @@
 
 struct Connection {
   ConnectionNumber number = 0;
-  std::string tenant;  // whose requests it carries; empty: no tenant's
+  std::string tenant;  // whose requests it carries; empty: of no tenant
   bool open = false;
   common::Instant created{0};
-  common::Instant opened{0};  // once it is open
+  common::Instant opened{0};  // time at which it opened
   common::Instant last_used{0};
   SessionValues values;
-  std::map<model::PreparedStatement, std::string> prepared;  // names on this connection
-  std::optional<SessionNumber> session;                      // that it belongs to for now
+  std::map<model::PreparedStatement, std::string> prepared;  // their names on this connection
+  std::optional<SessionNumber> session;                      // that uses it at present
   model::TransactionState state = model::TransactionState::kIdle;
   std::deque<OutstandingRequest> outstanding;
 };
 
-/// A control request that waits for a connection or an answer.
+/// A control request that waits for a connection.
 struct QueuedControlRequest {
   ControlNumber number = 0;
   model::ControlRequest request;
   common::Instant queued{0};
 };
 
-/// Taken for the latency of an instance until one was measured.
+/// Assumed latency of an instance before its first answer.
 inline constexpr double kInitialLatencyUs = 10'000;
 
-/// Statements that may always be in flight.
+/// Number of statements that may always be in flight.
 inline constexpr double kMinInFlight = 1;
 
-/// How an operation's route ranks it among those that wait.
+/// Rank of an operation among those that wait, set by its route.
 struct Urgency {
   std::uint32_t priority = 0;          // 0 goes first
-  common::Duration target_latency{0};  // within a priority, who has less time goes first
+  common::Duration target_latency{0};  // within a priority, the shortest goes first
 };
 
 class Backend {
@@ -89,17 +89,18 @@
   std::map<ConnectionNumber, Connection>& Connections() { return connections_; }
   const std::map<ConnectionNumber, Connection>& Connections() const { return connections_; }
 
-  /// @return a free connection of the tenant, preferably with these values in force, or nothing.
+  /// @return a free connection of the tenant, preferably with these values in force, or nullptr.
   Connection* PickFree(const std::string& tenant, const SessionValues& values);
-  /// @return a free connection for requests of the proxy's own: whose it is does not matter.
+  /// @return a free connection of any tenant, for the proxy's own requests, or nullptr.
   Connection* PickAnyFree();
-  /// @return the free connection of another tenant that was used least recently, or nothing.
+  /// @return the least recently used free connection of another tenant, or nullptr.
   Connection* PickFreeOfOtherTenant(const std::string& tenant);
   std::size_t OpeningCount() const;
-  std::size_t BusyCount() const;  // connections that work for somebody
+  std::size_t BusyCount() const;  // connections with requests of sessions or control requests
 
-  /// @return true if one more statement may be sent. The limit adapts to the instance's refusals,
-  /// and a congested instance gets one at a time: the queue is kept here, where it has an order.
+  /// @return true if one more statement may be sent. The limit adapts to the instance's refusals. A
+  /// congested instance gets one statement at a time, so that the queue builds up in the proxy,
+  /// which orders it by urgency.
   bool HasCapacity() const {
     return static_cast<double>(BusyCount()) < (Congested() ? kMinInFlight : in_flight_limit_);
   }
@@ -109,15 +110,17 @@
   void OnOpenFailed(common::Instant now, bool refused);
   void OnProbeFailed(common::Instant now);
 
-  /// @return true if it answered, or accepted a connection, within this time.
+  /// @return true if the instance answered, or accepted a connection, within this time.
   bool ContactedWithin(common::Duration age, common::Instant now) const {
     return now < last_contact_ + age;
   }
 
-  /// @return true if requests have been unanswered in silence for a while.
+  /// @return true if a request has been unanswered for 250 ms, and nothing else was received from
+  /// the instance meanwhile.
   bool IsUnresponsive(common::Instant now) const;
 
-  /// @return true if it does not answer at all.
+  /// @return true if the instance counts as unreachable: a connection was refused, or an attempt or
+  /// a probe failed after 250 ms without contact.
   bool Unreachable() const { return unreachable_since_.has_value(); }
   std::optional<common::Instant> UnreachableSince() const { return unreachable_since_; }
 
@@ -128,31 +131,34 @@
   void RecordLatency(common::Duration latency);
   void OnBusy(common::Instant now);
   double LatencyUs() const { return latency_us_; }
-  /// @return true if its answers take much longer than usual.
+  /// @return true if the instance's answers take more than three times as long as usual.
   bool Congested() const;
   double InFlightLimit() const { return in_flight_limit_; }
   common::Instant AvoidUntil() const { return avoid_until_; }
 
-  /// An operation of this urgency has found no room for a while.
+  /// Records that an operation of this urgency has found no free slot for a while.
   void OnStarved(const Urgency& urgency, common::Instant now);
-  /// @return true if this operation should leave the instance to those of its priority that have
-  /// clearly less time: some were crowded out a moment ago, and the instance is congested.
+  /// @return true if this operation should leave the instance to operations of its priority with a
+  /// clearly shorter target latency: one of them found no free slot in the last 100 ms, and the
+  /// instance is congested.
   bool ReservedForMoreUrgent(const Urgency& urgency, common::Instant now) const;
 
-  // Replication lag, as far as reads show it.
-  /// A read with this age of its requirement was refused as lagging.
+  // Replication lag, estimated from reads. The age of a read's requirement is the time since the
+  // position that it needs was current at the primary.
+  /// Handles a read with a requirement of this age that the instance refused as lagging.
+  /// @param bound_missed the instance did not even meet the read's staleness bound.
   void OnLaggingRead(common::Duration age, bool bound_missed, common::Instant now);
-  /// A read with this age of its requirement was served.
+  /// Handles a read with a requirement of this age that the instance served.
   void OnFreshRead(common::Duration age, common::Instant now);
-  /// @return true if a requirement of this age is expected to be met.
+  /// @return true if the instance is expected to meet a requirement of this age.
   bool ExpectedFresh(common::Duration age, common::Instant now) const;
 
   common::Instant probe_sent_at{0};  // of the last health probe
   std::deque<QueuedControlRequest> control_queue;
-  std::optional<common::Instant> unlisted_since;  // its entry is no longer listed
-  std::optional<common::Instant> draining_since;  // it said that it will end
-  std::optional<model::InstanceStatus> status;    // last seen
-  common::Instant status_at{0};                   // when that was
+  std::optional<common::Instant> unlisted_since;  // the store no longer lists its entry
+  std::optional<common::Instant> draining_since;  // its entry announces that it will stop
+  std::optional<model::InstanceStatus> status;    // last received
+  common::Instant status_at{0};                   // time at which `status` was received
   bool address_taken = false;                     // another instance answers at its address
   warm_up::instance_life restart_detection;
 
@@ -167,15 +173,15 @@
   double latency_us_ = kInitialLatencyUs;
   double baseline_latency_us_ = kInitialLatencyUs;
   double in_flight_limit_;
-  common::Instant avoid_until_{0};  // after it refused for want of capacity
+  common::Instant avoid_until_{0};  // after it refused a request as busy
   common::Duration busy_pause_{0};
-  Urgency starved_urgency_;  // of an operation that found no room lately
+  Urgency starved_urgency_;  // of the last operation without a free slot
   common::Instant starved_until_{0};
   common::Duration LagEstimate(common::Instant now) const;
 
-  common::Duration refused_requirement_age_{0};  // highest age of a requirement refused lately
-  common::Instant requirement_refused_at_{0};    // when that was
-  common::Instant lagging_until_{0};             // after it lacked even what the bound asks for
+  common::Duration refused_requirement_age_{0};  // highest age of recently refused requirements
+  common::Instant requirement_refused_at_{0};    // time at which `status` was received
+  common::Instant lagging_until_{0};             // pause after a missed staleness bound
   common::Duration lagging_pause_{0};
 };
 
--- a/src/proxy/backend_set.cc
+++ b/src/proxy/backend_set.cc
@@ -7,22 +7,23 @@
 
 constexpr common::Duration kControlTimeout{300'000};
 constexpr common::Duration kProbePause{250'000};
-constexpr common::Duration kAbandonedLimit{500'000};   // for an answer that nobody waits for
-constexpr common::Duration kOpenLimit{800'000};        // for a connection to be accepted
-constexpr common::Duration kCrowdedPause{80'000};      // after an instance had no connection left
-constexpr common::Duration kRemovedAfter{30'000'000};  // an entry that is gone and unreachable
-constexpr std::size_t kExtraForControl = 1;
-/// Between two looks at all instances: the shortest limit that they watch is 100 ms. A coordinator
-/// before 3,000 instances looked at each of them a hundred times a second.
+constexpr common::Duration kAbandonedLimit{500'000};   // for an answer to an abandoned request
+constexpr common::Duration kOpenTimeout{800'000};      // for a connection to be accepted
+constexpr common::Duration kRejectedPause{80'000};     // after an instance rejected a connection
+constexpr common::Duration kRemovalDelay{30'000'000};  // an unlisted, unreachable instance
+constexpr std::size_t kExtraControlConnections = 1;
+/// Interval between checks of all instances. The shortest limit that the checks enforce is 100 ms.
+/// Checking 3,000 instances in every tick, a hundred times a second, would load a coordinator
+/// needlessly.
 constexpr common::Duration kCheckInterval{30'000};
-/// An instance that was heard this shortly ago has not started again unless its connections broke:
-/// in between a daemon only gave its own connections up.
-constexpr common::Duration kShortGap{500'000};
-/// Time after which a connection beyond the first is given up: what a daemon holds when it loses
-/// power, its instances hold against everybody for seconds.
-constexpr common::Duration kIdleKept{700'000};
-/// Time after which a connection to an instance that is not watched is given up.
-constexpr common::Duration kGuestIdle{100'000};
+/// Time since the last contact within which an instance cannot have restarted unless its
+/// connections broke. If none broke, this daemon has only closed its own connections.
+constexpr common::Duration kNoRestartGap{500'000};
+/// Idle time after which a connection beyond the first is closed. When a daemon loses power, its
+/// instances keep its connections for seconds and reject those of other daemons.
+constexpr common::Duration kIdleLimit{700'000};
+/// Idle time after which a connection to an instance that is not watched is closed.
+constexpr common::Duration kUnwatchedIdleLimit{100'000};
 
 const char* OpenFailureName(OpenFailure failure) {
   switch (failure) {
@@ -99,8 +100,8 @@
 
 void BackendSet::ApplyStatus(Backend& backend, const model::InstanceStatus& status,
                              common::Instant sent, common::Instant now) {
-  // A log grows within a term and terms don't fall: less than was told before shows that the
-  // instance has lost what it held, before its entry tells of the new start.
+  // A log grows within a term, and terms do not fall. A lower status than before shows that the
+  // instance has lost its log, even before its entry shows the restart.
   const bool later = backend.status && sent >= backend.status_at;
   const bool lost =
       later && (status.term < backend.status->term || (status.term == backend.status->term &&
@@ -242,7 +243,7 @@
     Connection* connection = backend.PickAnyFree();
     if (connection == nullptr) {
       if (backend.OpeningCount() == 0) {
-        Open(backend, now, kExtraForControl);
+        Open(backend, now, kExtraControlConnections);
       }
       return;
     }
@@ -293,7 +294,7 @@
   }
   backend.Remove(number);
   for (const ControlNumber control : unanswered) {
-    // Its time is over soon; the callback comes from ExpireControls.
+    // Expires the request; ExpireControls calls its callback.
     const auto pending = controls_.find(control);
     if (pending != controls_.end()) {
       pending->second.started = common::Instant(0);
@@ -302,8 +303,8 @@
 }
 
 Backend* BackendSet::BackendOf(ConnectionNumber number) {
-  const auto owner = backend_ids_by_connection_.find(number);
-  return owner == backend_ids_by_connection_.end() ? nullptr : Find(owner->second);
+  const auto found = backend_ids_by_connection_.find(number);
+  return found == backend_ids_by_connection_.end() ? nullptr : Find(found->second);
 }
 
 void BackendSet::OnOpened(ConnectionNumber number, common::Instant now) {
@@ -324,7 +325,8 @@
   connection->opened = now;
   connection->last_used = now;
   if (may_have_restarted && backend->status) {
-    // Its entry may come later, or never to a daemon that is cut off from the store.
+    // The status shows a restart before the entry does; a daemon that cannot reach the store never
+    // receives the entry.
     QueueControlRequest(
         backend->Entry().id, {model::ControlKind::kStatus, 0},
         [](const std::optional<model::InstanceStatus>&, common::Instant) {}, now);
@@ -344,7 +346,7 @@
   }
   const bool connected = std::any_of(backend.Connections().begin(), backend.Connections().end(),
                                      [](const auto& each) { return each.second.open; });
-  if (!connected && !backend.ContactedWithin(kShortGap, now)) {
+  if (!connected && !backend.ContactedWithin(kNoRestartGap, now)) {
     warm_up_observer_->first_contact(backend.Entry(), now);
   }
 }
@@ -371,7 +373,7 @@
     }
   } else {
     backend->OnContact(now);
-    backend->DelayOpening(now + kCrowdedPause);
+    backend->DelayOpening(now + kRejectedPause);
     outbox_.Log("connection_rejected",
                 {{"instance", backend->Entry().id}, {"reason", model::ErrorCodeName(error)}});
   }
@@ -395,9 +397,9 @@
   connection->outstanding.pop_front();
   connection->state = reply.state;
   connection->last_used = now;
-  const bool lives_on =
+  const bool not_restarted =
       backend->restart_detection.note_answered(connection->opened, outstanding.sent);
-  if (lives_on && warm_up_observer_ != nullptr) {
+  if (not_restarted && warm_up_observer_ != nullptr) {
     warm_up_observer_->same_life(backend->Entry());
   }
   if (outstanding.purpose == Purpose::kControl) {
@@ -432,7 +434,7 @@
   }
   backend->restart_detection.note_break(now);
   DropLostConnection(*backend, number, now);
-  // Find out at once whether the instance still listens.
+  // Reconnects at once to check whether the instance still listens.
   if (backend->Connections().empty() && Watched(backend->Entry().service)) {
     Open(*backend, now);
   }
@@ -491,9 +493,9 @@
         now);
   }
   const bool watched = Watched(backend.Entry().service);
-  const bool wanted = backend.Unreachable() || backend.Connections().empty();
-  if (watched && wanted && backend.OpeningCount() == 0) {
-    Open(backend, now, kExtraForControl);
+  const bool needs_connection = backend.Unreachable() || backend.Connections().empty();
+  if (watched && needs_connection && backend.OpeningCount() == 0) {
+    Open(backend, now, kExtraControlConnections);
   }
 }
 
@@ -502,13 +504,13 @@
   const std::size_t limit = ConnectionLimit(backend.Entry().service);
   const bool watched = Watched(backend.Entry().service);
   std::size_t total = backend.Connections().size();
-  std::vector<ConnectionNumber> unopened;
+  std::vector<ConnectionNumber> timed_out;
   for (auto& [number, connection] : backend.Connections()) {
-    if (!connection.open && now >= connection.created + kOpenLimit) {
-      unopened.push_back(number);
+    if (!connection.open && now >= connection.created + kOpenTimeout) {
+      timed_out.push_back(number);
     }
     const bool idle = connection.open && connection.outstanding.empty() && !connection.session;
-    const common::Duration idle_limit = watched ? kIdleKept : kGuestIdle;
+    const common::Duration idle_limit = watched ? kIdleLimit : kUnwatchedIdleLimit;
     const std::size_t kept = watched ? 1 : 0;
     const bool unused = total > kept && now >= connection.last_used + idle_limit;
     const bool surplus = idle && (total > limit || unused);
@@ -522,16 +524,16 @@
   for (const ConnectionNumber number : closing) {
     Close(backend, number);
   }
-  for (const ConnectionNumber number : unopened) {
+  for (const ConnectionNumber number : timed_out) {
     outbox_.Emit(CloseConnection{number});
     OnOpenFailed(number, OpenFailure::kTimedOut, model::ErrorCode::kFailed, now);
   }
 }
 
 bool BackendSet::CloseIfTerminated(Backend& backend, common::Instant now) {
-  const bool ended = backend.unlisted_since && backend.Unreachable() &&
-                     now >= *backend.unlisted_since + kRemovedAfter;
-  if (!ended) {
+  const bool terminated = backend.unlisted_since && backend.Unreachable() &&
+                          now >= *backend.unlisted_since + kRemovalDelay;
+  if (!terminated) {
     return false;
   }
   while (!backend.Connections().empty()) {
@@ -546,15 +548,15 @@
     return;
   }
   check_due_ = now + kCheckInterval;
-  std::vector<std::string> ended;
+  std::vector<std::string> terminated;
   for (auto& [id, backend] : backends_) {
     CheckHealth(backend, now);
     TrimConnections(backend, now);
     if (CloseIfTerminated(backend, now)) {
-      ended.push_back(id);
+      terminated.push_back(id);
     }
   }
-  for (const std::string& id : ended) {
+  for (const std::string& id : terminated) {
     RemoveFromService(backends_.at(id).Entry());
     backends_.erase(id);
   }
--- a/src/proxy/backend_set.h
+++ b/src/proxy/backend_set.h
@@ -1,8 +1,8 @@
-// All instances and the connections to them.
+// Manages all instances and the connections to them.
 //
-// Owns: the backends, which connection belongs to which, and control requests in progress.
-// Invariant: every control request's callback is called exactly once, at the latest kControlTimeout
-// after the request. Pure. Thread: its host's.
+// Owns: the backends, the assignment of connections to backends, and the control requests in
+// progress. Invariant: the callback of every control request is called exactly once, at the latest
+// kControlTimeout after the request. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <functional>
@@ -17,40 +17,41 @@
 
 namespace valvekeel::proxy {
 
-/// Takes a control request's answer: the instance's status, or nothing if there was none.
+/// Receives the answer to a control request: the instance's status, or nothing if the request
+/// failed.
 using ControlCallback =
     std::function<void(const std::optional<model::InstanceStatus>&, common::Instant now)>;
 
 /// Why a connection could not be opened.
 enum class OpenFailure : std::uint8_t {
-  kRefused,   // nobody listens
+  kRefused,   // nothing listens at the address
   kTimedOut,  // no answer in time
   kRejected,  // the instance answered with an error
 };
 
-/// Told of instances that have started again under their id.
+/// Notified of instances that have restarted under their id.
 class RestartObserver {
  public:
   virtual ~RestartObserver() = default;
 
-  /// What was known of the former life says nothing any more.
+  /// Called after a restart or a loss of the log: what was known of the former incarnation is void.
   virtual void OnRestarted(const model::InstanceEntry& entry, common::Instant now) = 0;
 };
 
-/// Told of what happens to connections that serve callers.
+/// Notified of events on connections that serve sessions.
 class ConnectionObserver {
  public:
   virtual ~ConnectionObserver() = default;
 
-  /// A request of the session's was answered.
+  /// A request of a session was answered.
   virtual void OnAnswer(Backend& backend, Connection& connection,
                         const OutstandingRequest& outstanding, const model::Reply& reply,
                         common::Instant now) = 0;
 
-  /// The connection is gone; it is removed after this call.
+  /// The connection was lost. It is removed after this call.
   virtual void OnLost(Backend& backend, Connection& connection, common::Instant now) = 0;
 
-  /// Some instance may take more work now.
+  /// Some instance may accept more work now.
   virtual void OnCapacity(common::Instant now) = 0;
 };
 
@@ -62,19 +63,19 @@
   void SetWarmUpObserver(warm_up::life_observer* observer) { warm_up_observer_ = observer; }
   void SetRestartObserver(RestartObserver* observer) { restart_observer_ = observer; }
 
-  /// Takes an instance's entry as the store has it.
+  /// Adds or updates an instance by its entry in the store.
   void SetEntry(const model::InstanceEntry& entry, common::Instant now);
 
-  /// The instance's entry is gone; the instance may still serve.
+  /// Handles the removal of an instance's entry from the store. The instance may still serve.
   void OnEntryRemoved(const std::string& id, common::Instant now);
 
   Backend* Find(const std::string& id);
 
-  /// @return a connection to whatever instance, or nothing.
+  /// @return the connection of this number to any instance, or nullptr.
   Connection* FindConnection(ConnectionNumber number);
 
-  /// @return true if the instance is gone, or another one answers at its address, and one of its
-  /// service has that address: that one carries its log on.
+  /// @return true if the instance is no longer listed, or another one answers at its address, and
+  /// another listed instance of its service has that address: the successor continues its log.
   bool HasSuccessor(const Backend& backend) const;
   /// @return ids of the service's instances, in order.
   const std::vector<std::string>& IdsOf(const std::string& service) const;
@@ -82,34 +83,34 @@
   std::map<std::string, Backend>& All() { return backends_; }
   const std::map<std::string, Backend>& All() const { return backends_; }
 
-  /// Sets how many connections this daemon may have to an instance. @param watched keeps one open
-  /// all the time, to see that the instance is there.
+  /// Sets how many connections this daemon may have to each instance of a service.
+  /// @param watched keeps one connection open at all times, to monitor the instance.
   void SetConnectionLimit(const std::string& service, std::size_t limit, bool watched = true);
 
-  /// @return a number that rises when a service begins or ceases to be watched.
+  /// @return a counter that rises when a service begins or ceases to be watched.
   std::uint64_t WatchChanges() const { return watch_changes_; }
 
-  /// @return true if this daemon keeps an eye on the service's instances.
+  /// @return true if this daemon monitors the service's instances.
   bool Watched(const std::string& service) const { return watched_.contains(service); }
-  /// @return that number; 0 until it is set.
+  /// @return the limit of connections to each instance of the service; 0 until it is set.
   std::size_t ConnectionLimit(const std::string& service) const;
 
   /// Sets how many connections to an instance may be opening at once.
   void SetMaxOpening(std::size_t most) { max_opening_ = most; }
 
-  /// @return true if one more may be opened for statements that wait.
+  /// @return true if one more connection may be opened for this number of queued statements.
   bool MayOpenFor(const Backend& backend, std::size_t waiting) const {
     const std::size_t opening = backend.OpeningCount();
     return opening <= waiting && opening < max_opening_;
   }
 
-  /// Opens a connection if the limit allows it; else in the place of a free one of another tenant.
-  /// @return the connection, nothing if none is to be had.
+  /// Opens a connection if the limit allows it; otherwise replaces a free one of another tenant.
+  /// @return the connection's number, or nothing if none can be opened.
   std::optional<ConnectionNumber> OpenFor(const std::string& tenant, Backend& backend,
                                           common::Instant now);
 
-  /// Opens a connection of no tenant if the limit allows it. @param extra connections beyond the
-  /// limit.
+  /// Opens a connection of no tenant if the limit allows it.
+  /// @param extra connections allowed beyond the limit.
   bool Open(Backend& backend, common::Instant now, std::size_t extra = 0);
 
   /// Sends requests of one purpose over a connection.
@@ -120,10 +121,10 @@
   void QueueControlRequest(const std::string& instance, const model::ControlRequest& request,
                            ControlCallback callback, common::Instant now);
 
-  /// Gives a connection back: whatever transaction is open on it is rolled back first.
+  /// Releases a connection from its session. An open transaction is rolled back first.
   void Release(Backend& backend, Connection& connection, common::Instant now);
 
-  /// Closes a connection without telling the observer.
+  /// Closes a connection without notifying the observer.
   void Close(Backend& backend, ConnectionNumber number);
 
   void OnOpened(ConnectionNumber number, common::Instant now);
@@ -140,9 +141,9 @@
     common::Instant started{0};
   };
 
-  /// Ends all that was held of an instance's former life.
+  /// Discards the connections and state of an instance's former incarnation.
   void BeginIncarnation(Backend& backend, const model::InstanceEntry& entry, common::Instant now);
-  /// Takes an instance's word of itself, to a request sent at an instant.
+  /// Applies an instance's status, received in answer to a request sent at `sent`.
   void ApplyStatus(Backend& backend, const model::InstanceStatus& status, common::Instant sent,
                    common::Instant now);
   void AddToService(const model::InstanceEntry& entry);
@@ -152,11 +153,12 @@
   void SendQueuedControls(Backend& backend, common::Instant now);
   void FinishControl(ControlNumber number, const std::optional<model::InstanceStatus>& status,
                      common::Instant now);
-  /// Ends a connection whose far end is gone, and tells whom it served.
+  /// Removes a connection that the instance closed or that broke, and notifies the requests it
+  /// served.
   void DropLostConnection(Backend& backend, ConnectionNumber number, common::Instant now);
   void ExpireControls(common::Instant now);
-  /// Tells whether the instance of a connection that has just opened may have started meanwhile.
-  /// To be called before the instance counts as heard.
+  /// Notifies the warm-up observer if the instance of a connection that has just opened may have
+  /// restarted. To be called before Backend::OnContact.
   void DetectRestart(Backend& backend, common::Instant now);
   void CheckHealth(Backend& backend, common::Instant now);
   void TrimConnections(Backend& backend, common::Instant now);
@@ -173,7 +175,7 @@
   std::map<std::string, std::size_t> limits_;  // by service
   std::set<std::string> watched_;              // services
   std::uint64_t watch_changes_ = 0;
-  common::Instant check_due_{0};  // when the instances are looked at next
+  common::Instant check_due_{0};  // time of the next check of all instances
   std::size_t max_opening_ = 1'000;
 };
 
--- a/src/proxy/catalog_state.cc
+++ b/src/proxy/catalog_state.cc
@@ -10,19 +10,19 @@
 
 using model::Collection;
 
-/// Time for a watch to bring what another daemon knows already.
+/// Time for a watch to deliver a revision that another daemon reported.
 constexpr common::Duration kBehindLimit{500'000};
 /// Time between two attempts to catch up.
-constexpr common::Duration kChasePause{3'000'000};
-/// Reads of the leadership record that fail in a row before the store counts as lost: one answer
-/// may just be lost.
-constexpr std::uint32_t kLostProbes = 2;
+constexpr common::Duration kCatchUpPause{3'000'000};
+/// Number of reads of the leadership record that fail in a row before the store counts as lost: a
+/// single answer may be lost on the way.
+constexpr std::uint32_t kMaxFailedProbes = 2;
 /// At a first start: time for all daemons to register (they start within 0.3 s), so that one list
-/// shows them all, and time for the configuration to be written.
+/// returns them all, and time for the configuration to be written.
 constexpr common::Duration kFirstDaemonsDelay{1'300'000};
 constexpr common::Duration kFirstConfigurationDelay{1'500'000};
-/// Bytes of a name of an unusable entry that are logged.
-constexpr std::size_t kLongestNameLogged = 64;
+/// Maximum number of logged bytes of an unusable entry's name.
+constexpr std::size_t kMaxLoggedNameBytes = 64;
 
 const char* CollectionName(Collection collection) {
   switch (collection) {
@@ -47,8 +47,8 @@
   for (const Collection collection : {Collection::kConfiguration, Collection::kInstances}) {
     followers_.emplace(collection, metadata::CollectionFollower(collection, settings.watch_wait));
   }
-  // Nothing is late if these are: a promoter's write meets a newer record by its condition, and a
-  // daemon that is not known yet makes itself heard.
+  // Delays of these collections do no harm: a promoter's conditional write fails if the record is
+  // newer, and a daemon that is not listed yet sends heartbeats.
   for (const Collection collection : {Collection::kDaemons, Collection::kLeadership}) {
     followers_.emplace(collection,
                        metadata::CollectionFollower(collection, settings.slow_watch_wait));
@@ -57,16 +57,16 @@
        {Collection::kConfiguration, Collection::kInstances, Collection::kDaemons}) {
     followers_.at(collection).AllowOldFirstList();
   }
-  // Only who replaces primaries needs the record; the roles are not known yet.
+  // Only daemons that replace primaries need the record, and the roles are not known yet.
   followers_.at(Collection::kLeadership)
       .SetPace({settings.slow_watch_wait, common::Duration(0), false});
-  // At a first start everything is written at once: each change would end every watch.
+  // At a first start everything is written at the same time, and each change would end every watch.
   if (settings.first_start) {
-    const metadata::FollowPace gathered{settings.slow_watch_wait, settings.relaxed_pause};
+    const metadata::FollowPace batched{settings.slow_watch_wait, settings.relaxed_pause};
     for (const Collection collection : {Collection::kConfiguration, Collection::kDaemons}) {
-      followers_.at(collection).SetPace(gathered);
+      followers_.at(collection).SetPace(batched);
     }
-    // Most daemons of a large deployment need no instances: the roles tell.
+    // Most daemons of a large deployment need no instances; that depends on their roles.
     followers_.at(Collection::kInstances)
         .SetPace({settings.slow_watch_wait, settings.relaxed_pause, false});
   }
@@ -87,23 +87,25 @@
   const FollowPace close{interest.everything ? settings_.watch_wait : coordinator_wait};
   const FollowPace slow{settings_.slow_watch_wait};
   const FollowPace rare{settings_.relaxed_watch_wait};
-  const FollowPace gathered{settings_.relaxed_watch_wait, settings_.relaxed_pause};
-  const FollowPace on_news{settings_.relaxed_watch_wait, settings_.notified_list_pause, true, true};
-  const FollowPace seldom_news{settings_.notified_watch_wait, settings_.notified_list_pause, true,
-                               true};
-  const FollowPace seldom{settings_.notified_watch_wait, settings_.relaxed_pause, true, true};
+  const FollowPace batched{settings_.relaxed_watch_wait, settings_.relaxed_pause};
+  const FollowPace on_update{settings_.relaxed_watch_wait, settings_.notified_list_pause, true,
+                             true};
+  const FollowPace rarely_on_update{settings_.notified_watch_wait, settings_.notified_list_pause,
+                                    true, true};
+  const FollowPace daemons_on_update{settings_.notified_watch_wait, settings_.relaxed_pause, true,
+                                     true};
   const bool closely = interest.everything || interest.leadership;
   if (!interest.reader) {
     ResetFailedProbes();
   }
-  const FollowPace& distant = interest.receives_updates ? seldom_news : rare;
+  const FollowPace& distant = interest.receives_updates ? rarely_on_update : rare;
   const FollowPace none{settings_.relaxed_watch_wait, settings_.notified_list_pause, false};
   const FollowPace& unneeded = interest.receives_updates ? none : rare;
-  const FollowPace& needed = interest.receives_updates ? on_news : gathered;
+  const FollowPace& needed = interest.receives_updates ? on_update : batched;
   const FollowPace& of_instances = interest.instances ? needed : unneeded;
   followers_.at(Collection::kConfiguration).SetPace(closely ? close : distant);
   followers_.at(Collection::kInstances).SetPace(closely ? close : of_instances);
-  const FollowPace& of_daemons = interest.leadership ? gathered : seldom;
+  const FollowPace& of_daemons = interest.leadership ? batched : daemons_on_update;
   followers_.at(Collection::kDaemons).SetPace(interest.everything ? slow : of_daemons);
   followers_.at(Collection::kLeadership)
       .SetPace({settings_.slow_watch_wait, common::Duration(0), closely});
@@ -133,13 +135,13 @@
 
 void CatalogState::OnProbeResult(bool answered) {
   if (answered) {
-    // A watch that was under way meanwhile may never be answered.
+    // A watch that was sent in the meantime may never be answered.
     if (std::exchange(failed_probes_, 0) > 0) {
       DisconnectFollowers();
     }
     return;
   }
-  if (++failed_probes_ == kLostProbes) {
+  if (++failed_probes_ == kMaxFailedProbes) {
     DisconnectFollowers();
     UpdateConnected();
   }
@@ -155,14 +157,14 @@
     answer_revisions_.configuration = std::max(answer_revisions_.configuration, result.revision);
   } else if (collection == Collection::kInstances) {
     answer_revisions_.instances = std::max(answer_revisions_.instances, result.revision);
-    // What was removed has no revision of its own that a list would show.
+    // A list contains no revision of a removed object.
     object_revisions_.instances = removed ? std::max(object_revisions_.instances, result.revision)
                                           : object_revisions_.instances;
   }
 }
 
 CatalogRevisions CatalogState::Revisions() const {
-  // The era alone is news: who hears of it lists anew.
+  // A new era is itself a change: a daemon that receives it lists the collections again.
   const model::Revision first = model::FirstOf(era_.Newest());
   return {std::max({object_revisions_.configuration, reported_revisions_.configuration, first}),
           std::max({object_revisions_.instances, reported_revisions_.instances, first})};
@@ -195,7 +197,7 @@
   if (now < *behind_since_ + kBehindLimit || now < catch_up_not_before_) {
     return;
   }
-  catch_up_not_before_ = now + kChasePause;
+  catch_up_not_before_ = now + kCatchUpPause;
   outbox_.Log("watch_overdue",
               {{"configuration", model::RevisionText(object_revisions_.configuration)},
                {"instances", model::RevisionText(object_revisions_.instances)},
@@ -226,7 +228,7 @@
   if (instances.Refreshing() || !instances.Followed()) {
     return;
   }
-  // A watch that waits for news would be in the way.
+  // The collection has one call at a time, so a waiting watch is cancelled first.
   CancelCall(Collection::kInstances);
   instances.Abandon();
   instances.Refresh();
@@ -340,11 +342,11 @@
 void CatalogState::UpdateConnected() {
   const metadata::CollectionFollower& instances = followers_.at(Collection::kInstances);
   const metadata::CollectionFollower& configuration = followers_.at(Collection::kConfiguration);
-  // Who makes no calls counts as connected until one of its calls shows otherwise: it may be chosen
-  // to make them.
+  // A daemon that makes no calls counts as connected until one of its calls fails, so that it can
+  // be chosen to make them.
   const bool connected = (configuration.Connected() || !configuration.Followed()) &&
                          (instances.Connected() || !instances.Followed()) &&
-                         failed_probes_ < kLostProbes;
+                         failed_probes_ < kMaxFailedProbes;
   if (connected != connected_) {
     connected_ = connected;
     outbox_.Log(connected ? "store_regained" : "store_lost", {},
@@ -354,7 +356,8 @@
 
 void CatalogState::Apply(const model::CatalogObject& object, Collection collection,
                          common::Instant now, CatalogUpdate& update) {
-  // What a list no longer holds comes with the list's revision, which others need not know.
+  // An object that a list no longer contains has the list's revision, which is not reported to
+  // others.
   if (collection == Collection::kConfiguration && !object.gone) {
     object_revisions_.configuration = std::max(object_revisions_.configuration, object.revision);
   }
@@ -365,8 +368,8 @@
     if (collection == Collection::kInstances) {
       DropInstance(object.name, update);
     }
-    // An entry that went with the store's history names a daemon all the same: it may hold leases
-    // until it hears of that.
+    // A daemon whose entry was lost in a restore of the store stays listed: it may hold leases
+    // until it learns of the restore.
     if (collection == Collection::kDaemons && daemon_eras_[object.name] >= object.revision.era) {
       daemons_.erase(object.name);
     }
@@ -378,8 +381,8 @@
   } else if (const auto* instance = std::get_if<model::InstanceEntry>(&object.payload)) {
     ApplyInstance(*instance, now, update);
   } else if (const auto* unusable = std::get_if<model::UnusableEntry>(&object.payload)) {
-    // What the id named before takes no new work, as if its entry had gone: it may serve on, and
-    // its own next entry brings it back.
+    // The instance of that id gets no new work, as if its entry had been removed. It may keep
+    // serving, and its next usable entry lists it again.
     DropInstance(object.name, update);
     RecordUnusable(model::EntryDefectName(unusable->defect), object.name);
   } else if (const auto* daemon = std::get_if<model::DaemonEntry>(&object.payload)) {
@@ -387,7 +390,7 @@
     daemon_eras_[daemon->name] = object.revision.era;
     update.daemons.push_back(*daemon);
   } else if (const auto* record = std::get_if<model::LeadershipRecord>(&object.payload)) {
-    // The records of earlier eras tell nothing of this one.
+    // A record of an earlier era is not valid in this one.
     if (record->era == object.revision.era) {
       update.leadership = {*record, object.revision};
     }
@@ -402,13 +405,14 @@
                                  CatalogUpdate& update) {
   const auto known = instances_.find(entry.id);
   if (known != instances_.end() && known->second.Life() == entry.Life()) {
-    // A store that has just returned may show what the instance said before, such as that it does
-    // not drain. Else the store's order counts: another writer's number must not shut it out.
+    // A store that was just restored may return an earlier entry of the instance, for example one
+    // that does not drain. At other times the store's order decides, so that a higher sequence
+    // number of another writer does not block the entry.
     const bool earlier = entry.incarnation != 0 && entry.sequence < known->second.sequence;
     if (earlier && !era_.IsComplete(now)) {
       return;
     }
-    // A later era lists all entries anew: what says nothing new is no news.
+    // Each new era lists all entries again; an entry without changes is not an update.
     if (known->second.TellsSameAs(entry)) {
       known->second.sequence = entry.sequence;
       return;
@@ -428,11 +432,11 @@
 
 void CatalogState::RecordUnusable(const std::string& reason, const std::string& name) {
   const std::uint64_t count = ++unusable_entries_[reason];
-  // At counts that double: whoever writes bad entries must not fill the log.
+  // Logged only at powers of two, so that a writer of bad entries cannot fill the log.
   if (std::has_single_bit(count)) {
     outbox_.Log("instance_entry_unusable",
                 {{"reason", reason},
-                 {"name", name.substr(0, kLongestNameLogged)},
+                 {"name", name.substr(0, kMaxLoggedNameBytes)},
                  {"count", std::to_string(count)}},
                 LogLevel::kWarning);
   }
@@ -465,7 +469,7 @@
 CatalogUpdate CatalogState::ApplyCopy(const CatalogCopy& copy) {
   CatalogUpdate update;
   update.configuration = ApplyConfiguration(copy.configuration, "daemon", 0);
-  // The store's own word goes first: a copy only fills what was never listed.
+  // The store's own list takes precedence: a copy only adds instances before the first list.
   if (!followers_.at(Collection::kInstances).Listed()) {
     for (const model::InstanceEntry& instance : copy.instances) {
       if (instances_.emplace(instance.id, instance).second) {
--- a/src/proxy/catalog_state.h
+++ b/src/proxy/catalog_state.h
@@ -1,7 +1,8 @@
-// What the metadata store holds, as this daemon knows it.
+// Keeps this daemon's copy of the metadata store's contents.
 //
 // Owns: the followers of all collections, the configuration in force and the list of daemons.
-// Invariant: the configuration's version never falls within one life. Pure. Thread: its host's.
+// Invariant: the configuration's version never falls while the process runs. No I/O and no clock;
+// not thread-safe.
 #pragma once
 
 #include <map>
@@ -17,21 +18,21 @@
 
 namespace valvekeel::proxy {
 
-/// A copy of the catalog, as daemons hand it to each other.
+/// A copy of the catalog, as daemons pass it to each other.
 struct CatalogCopy {
   model::Configuration configuration;
   std::vector<model::InstanceEntry> instances;
   std::vector<model::DaemonEntry> daemons;
 };
 
-/// Newest revisions of the store at which something is known to have changed, or the first of its
-/// era.
+/// Newest revisions of the store at which a change is known, or the first revision of its era.
 struct CatalogRevisions {
   model::Revision configuration;
   model::Revision instances;
 };
 
-/// What an answer changed. An instance stands in one of its lists at most, as it was last.
+/// Changes that an answer of the store made. Each instance is in at most one of the lists, in its
+/// latest state.
 struct CatalogUpdate {
   bool configuration = false;
   std::vector<model::InstanceEntry> instances;
@@ -44,84 +45,89 @@
  public:
   CatalogState(const ProxySettings& settings, Outbox& outbox);
 
-  /// What this daemon needs of the store.
+  /// What this daemon needs from the store.
   struct Interest {
     bool everything = true;  // all collections, without delay
     bool leadership = true;  // the leadership record
-    bool reader = false;     // it reads the record for all, and so finds a silent store out
-    bool instances = true;   // it connects to instances: must see each that leaves. Who doesn't,
-                             // and is informed, asks for none
-    bool receives_updates = false;  // daemons that follow the store closely are heard
+    bool reader =
+        false;  // reads the record for all daemons; its reads detect an unresponsive store
+    bool instances = true;  // connects to instances, so it must see each removal; others that
+                            // receive updates read none
+    bool receives_updates = false;  // gets heartbeats from daemons that follow the store closely
   };
 
-  /// Follows the store as closely as is needed. Who is informed makes calls only after
-  /// NoteRevisions, and rarely besides.
+  /// Follows the store as closely as is needed. A daemon that receives updates makes calls only
+  /// after ApplyRevisions, and rarely otherwise.
   void SetInterest(const Interest& interest);
 
-  /// Lists the other daemons, or leaves it to those that tell who lives.
+  /// Sets whether this daemon lists the other daemons in the store, or leaves discovery to the
+  /// daemons that report the membership.
   void SetDiscovering(bool discovering);
 
-  /// Reads the configuration from the store, or leaves it to hubs that do.
+  /// Sets whether this daemon reads the configuration from the store, or leaves that to hubs.
   void SetFollowsConfiguration(bool source);
 
-  /// A read of the leadership record was answered, or was not.
+  /// Handles the result of a read of the leadership record.
   void OnProbeResult(bool answered);
 
-  /// This daemon reads the record no more: what its reads showed last says nothing by now.
+  /// Discards the failures of reads of the leadership record, once this daemon no longer reads it.
   void ResetFailedProbes() { failed_probes_ = 0; }
 
-  /// @return the newest revisions that this daemon knows or has heard of.
+  /// @return the newest revisions that this daemon has read or that were reported to it.
   CatalogRevisions Revisions() const;
 
-  /// Another daemon knows these revisions of the store: a watch that has not brought them for a
-  /// while is asked anew.
+  /// Merges the store's revisions that another daemon reported. A watch that has not delivered them
+  /// within 500 ms is restarted.
   void ApplyRevisions(const CatalogRevisions& revisions, common::Instant now);
 
-  /// Reads the list of instances as it is now, unless each change is heard as it comes.
+  /// Reads the present list of instances, unless a watch delivers each change as it happens.
   void RefreshInstances(common::Instant now);
 
-  /// The same, however closely changes are heard.
+  /// Reads the present list of instances, even if a watch delivers the changes.
   void RelistInstances();
 
-  /// @return the instant as of which an answer of the store has shown all instances.
+  /// @return the time as of which an answer of the store listed all instances.
   std::optional<common::Instant> InstancesCompleteAsOf() const {
     return followers_.at(model::Collection::kInstances).ShownAsOf();
   }
 
-  /// @return the instant as of which all instances are known, at the earliest.
+  /// @return the time as of which all instances are known, at the earliest.
   std::optional<common::Instant> InstancesFreshAsOf(common::Instant now) const;
 
-  /// Makes the calls that are due.
+  /// Makes the calls to the store that are due.
   void Tick(common::Instant now);
 
-  /// Takes an answer. @param jitter between 0 and 1.
+  /// Applies an answer of the store.
+  /// @param jitter between 0 and 1.
   CatalogUpdate OnAnswered(CallNumber call, const metadata::ReadResult& result, common::Instant now,
                            double jitter);
 
-  /// Takes the configuration as a read of its own has shown it.
+  /// Applies the configuration returned by a separate read of it.
   CatalogUpdate ApplyConfigurationRead(const model::Configuration& configuration,
                                        const model::Revision& revision, common::Instant now);
 
-  /// The store's history is of this era. @param source that tells so: "store" or "daemon".
+  /// Applies the era of the store's history.
+  /// @param source where the era comes from, for the log: "store" or "daemon".
   void ApplyEra(std::uint64_t era, const char* source, common::Instant now);
 
-  /// @return the era of the store's history, 0 if the store tells none; rises with each return from
-  /// an older copy.
+  /// @return the era of the store's history, 0 if the store reports none. It rises each time the
+  /// store is restored from an older copy.
   std::uint64_t Era() const { return era_.Newest(); }
 
-  /// @return how often a later era was met than the one before.
+  /// @return how often the era rose.
   std::uint64_t EraChanges() const { return era_.Returns(); }
 
-  /// @return true if what a read that was sent at the instant did not show is not there, either.
+  /// @return true if a read that was sent at `asked` is complete: what it does not contain does not
+  /// exist.
   bool IsComplete(common::Instant asked) const { return era_.IsComplete(asked); }
 
-  /// @return the instant as of which a read that was sent at the given one shows all there was.
+  /// @return the time as of which a read that was sent at `asked` is complete.
   common::Instant CompleteAsOf(common::Instant asked) const { return era_.ShownAsOf(asked); }
 
-  /// @return true if the daemon's entry was seen in the store's present history.
+  /// @return true if the daemon's entry was read in the store's present era.
   bool ListsDaemon(const std::string& name) const;
 
-  /// Takes another daemon's copy; only what is newer counts.
+  /// Merges another daemon's copy. Only newer contents count.
   CatalogUpdate ApplyCopy(const CatalogCopy& copy);
 
   /// @return the configuration in force, version 0 if there is none.
@@ -129,51 +135,52 @@
   const std::map<std::string, model::DaemonEntry>& Daemons() const { return daemons_; }
   const std::map<std::string, model::InstanceEntry>& Instances() const { return instances_; }
 
-  /// @return true once the other daemons are known: from the store or from one of them.
+  /// @return true once the other daemons are known, from the store or from another daemon's copy.
   bool DaemonsKnown() const { return daemons_known_; }
 
-  /// @return true once the store itself has told of them.
+  /// @return true once the store itself has listed the daemons.
   bool DaemonsListed() const;
 
-  /// @return true if the store answers.
+  /// @return true if the store counts as connected.
   bool Connected() const { return connected_; }
 
-  /// @return true if it answers, and did so within this time.
+  /// @return true if the store counts as connected and answered within this time.
   bool AnsweredWithin(common::Duration age, common::Instant now) const {
     return connected_ && now < answered_at_ + age;
   }
 
   CatalogCopy Copy() const;
 
-  /// @return how many entries named no instance to use, by reason.
+  /// @return number of entries that describe no usable instance, by reason.
   const std::map<std::string, std::uint64_t>& UnusableEntries() const { return unusable_entries_; }
 
  private:
-  /// A call that was not answered yet.
+  /// A call to the store that was not answered yet.
   struct PendingCall {
     model::Collection collection = model::Collection::kConfiguration;
-    bool watch = false;  // else a list
+    bool watch = false;  // false: a list
     common::Instant sent{0};
   };
 
   void Apply(const model::CatalogObject& object, model::Collection collection, common::Instant now,
              CatalogUpdate& update);
   void ApplyInstance(const model::InstanceEntry& entry, common::Instant now, CatalogUpdate& update);
-  /// Gives up the collection's call, if there is one: its answer counts no more.
+  /// Cancels the collection's call, if there is one: its answer is ignored.
   void CancelCall(model::Collection collection);
   void LogFailure(const PendingCall& call, const metadata::ReadResult& result, common::Instant now);
-  /// Drops what another daemon's copy held and the first list does not.
+  /// Removes instances that came from another daemon's copy and that the store's first list lacks.
   void DropUnlisted(const metadata::ReadResult& result, CatalogUpdate& update);
   void DropInstance(const std::string& id, CatalogUpdate& update);
   void RecordUnusable(const std::string& reason, const std::string& name);
-  /// @param revision of the store, 0 if another daemon tells of the configuration.
+  /// @param revision of the store, 0 if the configuration comes from another daemon.
   bool ApplyConfiguration(const model::Configuration& configuration, const char* source,
                           const model::Revision& revision);
   void UpdateConnected();
   void RecordAnswerRevision(model::Collection collection, const metadata::ReadResult& result);
   void DisconnectFollowers();
   void DelayFirstCalls(common::Instant now);
-  /// @return true if something is known elsewhere that this daemon follows and lacks.
+  /// @return true if another daemon reported a newer revision of a collection that this daemon
+  /// follows.
   bool IsBehind() const;
 
   const ProxySettings& settings_;
@@ -184,11 +191,11 @@
   std::map<std::string, model::InstanceEntry> instances_;
   std::map<std::string, model::DaemonEntry> daemons_;
   std::map<std::string, std::uint64_t> unusable_entries_;
-  CatalogRevisions object_revisions_;    // of the newest objects
-  CatalogRevisions reported_revisions_;  // highest that others told of
+  CatalogRevisions object_revisions_;    // of the newest objects received
+  CatalogRevisions reported_revisions_;  // highest that other daemons reported
   CatalogRevisions answer_revisions_;    // of the store's newest answers
   metadata::StoreEra era_;
-  std::map<std::string, std::uint64_t> daemon_eras_;  // in which entries were seen last, by name
+  std::map<std::string, std::uint64_t> daemon_eras_;  // of the last read entry, by name
   std::uint32_t failed_probes_ = 0;                   // in a row
   std::optional<common::Instant> behind_since_;
   bool started_ = false;
--- a/src/proxy/configuration_prover.cc
+++ b/src/proxy/configuration_prover.cc
@@ -3,16 +3,17 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Parts of the revocation limit (5 s on the users' sites). Between two reads of the reader: with
-/// heartbeats of 0.25 s both ways a proof is at most 0.3 of the limit old where it is told.
-constexpr int kReadPart = 6;
-/// Age of a proof at which a daemon reads by itself: what the reader should have told is missing.
-/// Leaves more than half of the limit for tries.
+/// The reader's interval between reads, as a fraction of the revocation limit. With a limit of 5 s
+/// and heartbeats of 0.25 s both ways, a proof is at most 0.3 of the limit old when another daemon
+/// receives it.
+constexpr int kReadIntervalDivisor = 6;
+/// Age of a proof, as a fraction of the limit, at which a daemon reads itself because no newer
+/// proof has arrived from the reader. It leaves more than half of the limit for attempts.
 constexpr int kOwnReadNumerator = 2;
 constexpr int kOwnReadDenominator = 5;
-/// Between two reads of a daemon that reads by itself.
-constexpr int kOwnPausePart = 8;
-/// The same while the store does not answer, and before the first proof of a life.
+/// Interval between reads of a daemon that reads itself, as a fraction of the limit.
+constexpr int kOwnReadPauseDivisor = 8;
+/// The same interval while the store does not answer, and before the first proof.
 constexpr common::Duration kFailedPause{800'000};
 constexpr common::Duration kFirstPause{300'000};
 
@@ -22,14 +23,14 @@
   const common::Duration limit = settings_.tenants.revocation_limit;
   const auto since = asked_at_ ? std::optional(now - *asked_at_) : std::nullopt;
   if (duty.reader) {
-    return !since || *since >= limit / kReadPart;
+    return !since || *since >= limit / kReadIntervalDivisor;
   }
   if (!duty.admits) {
     return false;
   }
   const auto age = admission_.proof().age(admission_.configuration_version(), now);
   const bool old = !age || *age >= limit * kOwnReadNumerator / kOwnReadDenominator;
-  const common::Duration retry = age ? limit / kOwnPausePart : kFirstPause;
+  const common::Duration retry = age ? limit / kOwnReadPauseDivisor : kFirstPause;
   const common::Duration pause = failed_ || !duty.store_connected ? kFailedPause : retry;
   return old && (!since || *since >= pause);
 }
@@ -66,7 +67,8 @@
   if (!version) {
     outbox_.Log("configuration_read_failed", {}, LogLevel::kWarning);
   } else if (catalog.IsComplete(*asked_at_)) {
-    // Else a version that withdrew a key may not have been written again.
+    // After a restore of the store, a version that revoked a key may not have been written again
+    // yet.
     admission_.proof().note({*version, catalog.CompleteAsOf(*asked_at_)});
   }
   return true;
--- a/src/proxy/configuration_prover.h
+++ b/src/proxy/configuration_prover.h
@@ -1,11 +1,11 @@
-// Shows again and again that the configuration in force is the store's newest.
+// Proves periodically that the configuration in force is the store's newest.
 //
-// Keys may be admitted only while that is proved (tenants/freshness.h). One daemon, the one that
-// reads the leadership record, reads the configuration for all; the others hear of it in
-// heartbeats, and read by themselves what they have not heard for a while.
+// Keys may be admitted only while that is proved (tenants/freshness.h). The daemon that reads the
+// leadership record also reads the configuration for all; the others receive the proof in
+// heartbeats. A daemon whose proof gets old reads the configuration itself.
 //
-// Owns: when the configuration is read. Invariant: a proof counts from the instant at which its
-// read was sent. Pure. Thread: its host's.
+// Owns: the schedule of these reads. Invariant: a proof counts from the time at which its read was
+// sent. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <optional>
@@ -22,18 +22,20 @@
   ConfigurationProver(const ProxySettings& settings, tenants::admission& admission, Outbox& outbox)
       : settings_(settings), admission_(admission), outbox_(outbox) {}
 
-  /// What decides whether this daemon reads.
+  /// The role of this daemon, which decides whether it reads.
   struct Duty {
-    bool reader = false;           // it reads for all
-    bool admits = false;           // it serves sessions, or may be handed some
-    bool store_connected = false;  // the store answered lately
+    bool reader = false;           // it reads for all daemons
+    bool admits = false;           // it serves sessions, or may receive some from another daemon
+    bool store_connected = false;  // the store answered recently
   };
 
-  /// Reads the configuration if it is due.
+  /// Starts a read of the configuration if one is due.
   void Tick(const Duty& duty, common::Instant now);
 
-  /// Takes the newest version. @param catalog tells whether the store may lack what was written.
-  /// @return true if the call was ours.
+  /// Handles the answer to a read.
+  /// @param version the store's newest, nothing if the read failed.
+  /// @param catalog decides as of when the read is complete.
+  /// @return true if this object made the call.
   bool OnReadAnswered(CallNumber call, const std::optional<std::uint64_t>& version,
                       const CatalogState& catalog);
 
@@ -45,7 +47,7 @@
   Outbox& outbox_;
   std::optional<CallNumber> call_;
   std::optional<common::Instant> asked_at_;
-  bool failed_ = false;  // the last read
+  bool failed_ = false;  // the last read failed
   bool unproven_ = false;
 };
 
--- a/src/proxy/failover_driver.cc
+++ b/src/proxy/failover_driver.cc
@@ -7,32 +7,34 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Share of the live daemons whose opinion is enough to call a primary lost.
-constexpr double kLostShare = 0.3;
-/// Time that a primary's entry is gone before it is replaced.
+/// Share of the live daemons that watch a group whose suspicions suffice to replace its primary.
+constexpr double kSuspicionShare = 0.3;
+/// Time for which a primary's entry is unlisted before the primary is replaced.
 constexpr common::Duration kUnlistedLimit{2'000'000};
-/// Time after a failed attempt before the next.
+/// Pause after a failed attempt.
 constexpr common::Duration kRetryPause{500'000};
-/// Time until it is looked again whether enough replicas answer.
+/// Pause before it is checked again whether enough replicas are reachable.
 constexpr common::Duration kInfeasiblePause{100'000};
-/// The same after a failed replacement by plan: doubled with each until it is the longest. The
-/// primary serves meanwhile, and each attempt holds up replication and costs writes to the store.
+/// Longest pause after a failed planned replacement; the pause doubles with each failure. The
+/// primary serves in the meantime, and each attempt delays replication and costs writes to the
+/// store.
 constexpr common::Duration kLongestPlannedPause{8'000'000};
-/// Time after a successful one.
+/// Pause after a successful attempt.
 constexpr common::Duration kSettledPause{1'000'000};
-/// Between two looks at all groups, which a coordinator of 1,000 must not walk a hundred times a
-/// second. Groups that are being replaced, or are to be, are looked at each time.
-constexpr common::Duration kLookInterval{40'000};
-/// Advantage in time of each daemon over the next in order.
+/// Interval between evaluations of all groups: a coordinator of 1,000 groups must not walk them a
+/// hundred times a second. Groups with a pending or running replacement are evaluated in every
+/// tick.
+constexpr common::Duration kEvaluationInterval{40'000};
+/// Delay of each daemon relative to the one before it in the order of attempts.
 constexpr common::Duration kTurnStep{700'000};
-/// Time for which a daemon must have known a group before it may replace the group's primary.
-constexpr common::Duration kAcquaintance{1'500'000};
+/// Time for which a daemon must have observed a group before it may replace the group's primary.
+constexpr common::Duration kMinObservedTime{1'500'000};
 
 std::string HolderName(const ProxySettings& settings) {
   return settings.name + "." + std::to_string(settings.incarnation);
 }
 
-/// @return the daemon's name within a holder's.
+/// @return the daemon's name, taken from a holder's name.
 std::string DaemonOfHolder(const std::string& holder) {
   return holder.substr(0, holder.rfind('.'));
 }
@@ -116,10 +118,10 @@
     return false;
   }
   std::size_t live = group.watched ? 1 : 0;
-  std::size_t lost = group.primary_suspected ? 1 : 0;
+  std::size_t suspecting = group.primary_suspected ? 1 : 0;
   for (const auto& [address, peer] : peers_.All()) {
-    const bool judges = roles_.watches(group.service, peer.name);
-    if (!judges || !peers_.Alive(peer, now) || peer.last.stopping) {
+    const bool watches = roles_.watches(group.service, peer.name);
+    if (!watches || !peers_.Alive(peer, now) || peer.last.stopping) {
       continue;
     }
     ++live;
@@ -127,27 +129,27 @@
         std::find_if(peer.last.groups.begin(), peer.last.groups.end(),
                      [&](const GroupReport& each) { return each.service == group.service; });
     if (report != peer.last.groups.end() && report->primary_suspected) {
-      ++lost;
+      ++suspecting;
     }
   }
-  const auto needed =
-      static_cast<std::size_t>(std::max(1.0, std::ceil(kLostShare * static_cast<double>(live))));
-  return lost >= needed;
+  const auto needed = static_cast<std::size_t>(
+      std::max(1.0, std::ceil(kSuspicionShare * static_cast<double>(live))));
+  return suspecting >= needed;
 }
 
 FailoverDriver::ReplacementCause FailoverDriver::FitnessCause(const GroupState& group,
                                                               const Backend& primary,
                                                               common::Instant now) const {
-  const access::leader_answer present = access_.judge_leader(primary.Entry(), now);
-  if (present.fitness == model::LeaderFitness::kFit) {
+  const access::leader_answer current = access_.judge_leader(primary.Entry(), now);
+  if (current.fitness == model::LeaderFitness::kFit) {
     return {};
   }
   for (const std::string& id : groups_.Members(group.service)) {
     const Backend& other = backends_.All().at(id);
     const bool usable = !other.Unreachable() && !other.IsUnresponsive(now) &&
                         !other.unlisted_since && !other.draining_since && id != primary.Entry().id;
-    if (usable && access_.judge_leader(other.Entry(), now).fitness > present.fitness) {
-      return {present.reason, present.fitness};
+    if (usable && access_.judge_leader(other.Entry(), now).fitness > current.fitness) {
+      return {current.reason, current.fitness};
     }
   }
   return {};
@@ -170,30 +172,30 @@
   return unlisted ? ReplacementCause{"unlisted", {}} : FitnessCause(group, primary->second, now);
 }
 
-bool FailoverDriver::IsTurn(const PendingReplacement& wish, common::Instant now) const {
+bool FailoverDriver::IsTurn(const PendingReplacement& pending, common::Instant now) const {
   if (!roles_.coordinates()) {
     return false;
   }
-  std::vector<std::string> able = {settings_.name};
+  std::vector<std::string> eligible = {settings_.name};
   for (const std::string& name : peers_.LiveNames(now)) {
     const Peer* peer = peers_.ByName(name);
     if (peer != nullptr && peer->last.store_connected && roles_.coordinates(name)) {
-      able.push_back(name);
+      eligible.push_back(name);
     }
   }
-  std::sort(able.begin(), able.end());
+  std::sort(eligible.begin(), eligible.end());
   const std::string holder = DaemonOfHolder(leadership_.Holder());
-  const auto at = std::find(able.begin(), able.end(), holder);
-  if (at != able.end()) {
-    std::rotate(able.begin(), at, at + 1);
+  const auto at = std::find(eligible.begin(), eligible.end(), holder);
+  if (at != eligible.end()) {
+    std::rotate(eligible.begin(), at, at + 1);
   }
-  const auto rank = std::find(able.begin(), able.end(), settings_.name) - able.begin();
-  return now >= wish.since + kTurnStep * rank;
+  const auto rank = std::find(eligible.begin(), eligible.end(), settings_.name) - eligible.begin();
+  return now >= pending.since + kTurnStep * rank;
 }
 
 failover::GroupView FailoverDriver::ViewOf(const GroupState& group, const model::Service& service,
                                            const RegisteredDaemons& registered,
-                                           common::Term new_term, const ReplacementCause& need,
+                                           common::Term new_term, const ReplacementCause& cause,
                                            common::Instant now) const {
   failover::GroupView view;
   view.service = group.service;
@@ -215,7 +217,7 @@
   view.lost_logs = group.log_loss_times.size();
   view.known_replicas = MaxReportedReplicas(group.service, now);
   view.unreleased = UnreleasedDaemons(group.service, registered, new_term, now);
-  view.better_than = need.better_than;
+  view.better_than = cause.better_than;
   return view;
 }
 
@@ -227,7 +229,7 @@
   for (const auto& [name, daemon] : registered) {
     daemons.insert(name);
   }
-  // Those that have registered a moment ago may not be read yet.
+  // Daemons that registered a moment ago may be missing in the list that was read.
   for (const std::string& name : peers_.LiveNames(now)) {
     daemons.insert(name);
   }
@@ -252,7 +254,7 @@
                                                 common::Instant now) const {
   std::size_t most = 0;
   for (const auto& [address, peer] : peers_.All()) {
-    // Who does not connect to the instances does not learn that one has ended.
+    // A daemon that does not connect to the instances does not detect terminations.
     if (!peers_.Alive(peer, now) || !roles_.watches(service, peer.name)) {
       continue;
     }
@@ -273,7 +275,7 @@
   }
   const bool all = now >= evaluation_due_;
   if (all) {
-    evaluation_due_ = now + kLookInterval;
+    evaluation_due_ = now + kEvaluationInterval;
     any_primary_suspected_ = peers_.AnyPrimarySuspected(now);
   } else if (attempts_.empty() && pending_replacements_.empty()) {
     return;
@@ -287,29 +289,29 @@
       AdvanceAttempt(name, configuration, registered, now);
       continue;
     }
-    const ReplacementCause need = CauseOf(*group, now);
-    if (need.reason.empty()) {
+    const ReplacementCause cause = CauseOf(*group, now);
+    if (cause.reason.empty()) {
       pending_replacements_.erase(name);
       DropStaleEntry(*group, now);
       continue;
     }
-    PendingReplacement& wish =
-        pending_replacements_.try_emplace(name, PendingReplacement{now, need}).first->second;
-    wish.cause = need;
-    const bool allowed = store_connected && now >= not_before_[name] && IsTurn(wish, now) &&
-                         now >= group->observed_since + kAcquaintance && group->members_known &&
-                         !(need.better_than && now < planned_pauses_[name].until);
+    PendingReplacement& pending =
+        pending_replacements_.try_emplace(name, PendingReplacement{now, cause}).first->second;
+    pending.cause = cause;
+    const bool allowed = store_connected && now >= not_before_[name] && IsTurn(pending, now) &&
+                         now >= group->observed_since + kMinObservedTime && group->members_known &&
+                         !(cause.better_than && now < planned_pauses_[name].until);
     if (!allowed) {
       continue;
     }
-    const failover::GroupView view = ViewOf(*group, service, registered, 0, need, now);
+    const failover::GroupView view = ViewOf(*group, service, registered, 0, cause, now);
     if (!failover::Attempt::Feasible(view)) {
       not_before_[name] = now + kInfeasiblePause;
-      LogInfeasible(view, need.reason);
+      LogInfeasible(view, cause.reason);
       continue;
     }
     outbox_.Log("failover_started", {{"service", name},
-                                     {"reason", need.reason},
+                                     {"reason", cause.reason},
                                      {"primary", group->lease.Newest().primary},
                                      {"term", std::to_string(group->lease.Newest().term)}});
     attempts_[name] = std::make_unique<failover::Attempt>(name, leadership_, now);
@@ -319,13 +321,13 @@
 
 void FailoverDriver::LogInfeasible(const failover::GroupView& view, const std::string& reason) {
   const failover::FenceCount fences = failover::Attempt::FencesOf(view);
-  std::string away;
+  std::string unreachable;
   for (const failover::MemberView& member : view.members) {
     if (member.id != view.primary && !member.departed && !member.reachable) {
-      away += (away.empty() ? "" : " ") + member.id;
+      unreachable += (unreachable.empty() ? "" : " ") + member.id;
     }
   }
-  // Replicas that only other daemons count are in no list here: `known` tells of them.
+  // Replicas that only other daemons count are in no local list; `known` includes them.
   outbox_.Log("failover_infeasible",
               {{"service", view.service},
                {"reason", reason},
@@ -335,7 +337,7 @@
                {"replicas", std::to_string(fences.replicas)},
                {"known", std::to_string(view.known_replicas)},
                {"lost_logs", std::to_string(view.lost_logs)},
-               {"away", away}},
+               {"away", unreachable}},
               LogLevel::kWarning);
 }
 
@@ -343,15 +345,16 @@
   const auto entry = leadership_.Record().attempts.find(group.service);
   const bool stale = entry != leadership_.Record().attempts.end() &&
                      entry->second.replaced_term >= group.lease.Newest().term;
-  // The lease is held by a majority's word although the record does not renew it, and nobody can
-  // act on the entry any more: the replacement never came about.
+  // The lease is held by confirmation of a majority although the record does not renew it, and no
+  // daemon can act on the entry any more: the replacement did not take place.
   const bool certain =
       stale && group.lease.Holds(now) && leadership_.Settled(now) && store_connected_;
   if (certain && leadership_.MayWrite(now) && groups_.IsProber(group.service)) {
     outbox_.Log("failover_entry_dropped", {{"service", group.service}});
-    // All earlier terms stay replaced: daemons cut off since may still hold one.
+    // All earlier terms stay replaced: daemons that have been cut off since may still hold a lease
+    // of one.
     const model::AttemptRecord earlier{group.lease.Newest().term - 1, ""};
-    Do(group, failover::WriteRecord{leadership_.Prepare(group.service, earlier, now)}, now);
+    Execute(group, failover::WriteRecord{leadership_.Prepare(group.service, earlier, now)}, now);
   }
 }
 
@@ -397,12 +400,12 @@
                                 const std::vector<failover::AttemptAction>& actions,
                                 common::Instant now) {
   for (const failover::AttemptAction& action : actions) {
-    std::visit([&](const auto& each) { Do(group, each, now); }, action);
+    std::visit([&](const auto& each) { Execute(group, each, now); }, action);
   }
 }
 
-void FailoverDriver::Do(GroupState& group, const failover::SendControl& action,
-                        common::Instant now) {
+void FailoverDriver::Execute(GroupState& group, const failover::SendControl& action,
+                             common::Instant now) {
   const std::string service = group.service;
   const auto answered = [this, service, action](const std::optional<model::InstanceStatus>& status,
                                                 common::Instant at) {
@@ -424,32 +427,32 @@
   backends_.QueueControlRequest(action.instance, action.request, answered, now);
 }
 
-void FailoverDriver::Do(GroupState& group, const failover::AnnounceFence& action,
-                        common::Instant now) {
+void FailoverDriver::Execute(GroupState& group, const failover::AnnounceFence& action,
+                             common::Instant now) {
   group.fence_below = action.replaced_term + 1;
   groups_.ReleaseTermsBelow(group, group.fence_below);
   fence_announced_ = true;
   static_cast<void>(now);
 }
 
-void FailoverDriver::Do(GroupState& group, const failover::WriteRecord& action,
-                        common::Instant now) {
+void FailoverDriver::Execute(GroupState& group, const failover::WriteRecord& action,
+                             common::Instant now) {
   const CallNumber call = outbox_.NextNumber();
   record_writes_[call] = group.service;
   outbox_.Emit(WriteLeadership{call, action.write});
   static_cast<void>(now);
 }
 
-void FailoverDriver::Do(GroupState& group, const failover::RequestPromotion& action,
-                        common::Instant now) {
+void FailoverDriver::Execute(GroupState& group, const failover::RequestPromotion& action,
+                             common::Instant now) {
   const CallNumber call = outbox_.NextNumber();
   promotions_[call] = group.service;
   outbox_.Emit(Promote{call, group.service, action.candidate, action.holder, action.token});
   static_cast<void>(now);
 }
 
-void FailoverDriver::Do(GroupState& group, const failover::AttemptNote& action,
-                        common::Instant now) {
+void FailoverDriver::Execute(GroupState& group, const failover::AttemptNote& action,
+                             common::Instant now) {
   outbox_.Log("failover_step",
               {{"service", group.service}, {"step", action.step}, {"detail", action.detail}});
   static_cast<void>(now);
--- a/src/proxy/failover_driver.h
+++ b/src/proxy/failover_driver.h
@@ -1,8 +1,9 @@
-// Starts and drives replacements of primaries.
+// Decides when a primary is replaced, and drives the replacement.
 //
-// Owns: this daemon's leadership and its attempts, one a group at most. Invariant: only a daemon
-// that reaches the metadata store starts an attempt; of several the current holder goes first, then
-// the others in order of their names. Pure. Thread: its host's.
+// Owns: this daemon's leadership and its attempts, at most one for each group. Invariant: only a
+// daemon that reaches the metadata store starts an attempt; of several such daemons the holder of
+// the leadership goes first, then the others in the order of their names. No I/O and no clock; not
+// thread-safe.
 #pragma once
 
 #include <map>
@@ -23,7 +24,7 @@
 
 namespace valvekeel::proxy {
 
-/// The daemons in the store, by name.
+/// The daemons registered in the store, by name.
 using RegisteredDaemons = std::map<std::string, model::DaemonEntry>;
 
 class FailoverDriver {
@@ -32,42 +33,47 @@
                  const access::rule_set& access, const PeerTable& peers,
                  const membership::live_view& view, const relay::role_map& roles, Outbox& outbox);
 
-  /// Takes the leadership record as the store has it. @param revision of number 0 if there is none.
+  /// Handles the leadership record as read from the store.
+  /// @param revision its revision; number 0 if there is no record.
   void OnRecordRead(const model::LeadershipRecord& record, const model::Revision& revision,
                     common::Instant now);
 
-  /// The store's history is of this era now: claims of an earlier one are gone from it.
+  /// Starts a new era of the store's history. It lacks claims of earlier eras.
   void BeginEra(std::uint64_t era, common::Instant now) { leadership_.BeginEra(era, now); }
 
-  /// An instance has started again under its id: it holds nothing that attempts know of it.
+  /// Handles an instance that restarted under its id: it no longer holds the log that attempts rely
+  /// on.
   void OnMemberRestarted(const model::InstanceEntry& entry, common::Instant now);
 
   void OnRecordWritten(CallNumber call, const failover::WriteResult& result, common::Instant now);
   void OnPromotionAnswered(CallNumber call, failover::PromotionStatus status, common::Instant now);
 
-  /// @param configuration in force. @param registered all daemons in the store.
+  /// Advances the attempts and starts those that are due.
+  /// @param configuration in force.
+  /// @param registered all daemons in the store.
   void Tick(const model::Configuration& configuration, const RegisteredDaemons& registered,
             bool store_connected, common::Instant now);
 
-  /// @return true if an attempt is in progress here.
+  /// @return true if an attempt of this daemon is in progress.
   bool HasAttempts() const { return !attempts_.empty(); }
 
-  /// @return true since the last call if the other daemons should hear of a fence at once.
+  /// @return true if a fence was announced since the last call, which the other daemons should be
+  /// notified of at once.
   bool ConsumeFenceAnnounced() { return std::exchange(fence_announced_, false); }
 
  private:
-  /// Why a primary should be replaced.
+  /// Why a primary should be replaced, if it should.
   struct ReplacementCause {
-    std::string reason;  // empty: it should not
-    /// Of a replacement that is worth nothing unless the new primary suits better than this.
+    std::string reason;  // empty: no replacement
+    /// Set for a planned replacement: the new primary must have a higher fitness than this.
     std::optional<model::LeaderFitness> better_than;
   };
-  /// After replacements by plan that failed, until the next.
+  /// Pause after failed planned replacements of a group's primary.
   struct PlannedPause {
     common::Duration length{0};
     common::Instant until{0};
   };
-  /// Notes how an attempt ended, for the pause before the next replacement by plan.
+  /// Records how an attempt ended, which sets the pause before the next planned replacement.
   void RecordPlannedResult(const std::string& service, bool finished, common::Instant now);
   struct PendingReplacement {
     common::Instant since{0};
@@ -75,30 +81,30 @@
   };
 
   ReplacementCause CauseOf(const GroupState& group, common::Instant now) const;
-  /// @return the need that follows from how well the primary suits, if another suits better.
+  /// @return a cause if another usable instance has a higher fitness than the primary.
   ReplacementCause FitnessCause(const GroupState& group, const Backend& primary,
                                 common::Instant now) const;
-  /// @return true if the service is to be looked at now: while it is replaced, or is to be, at
-  /// once.
+  /// @return true if the service is to be evaluated now: in each full evaluation (`all`), and
+  /// always while a replacement of its primary is pending or in progress.
   bool ShouldEvaluate(const std::string& service, bool all) const;
   bool IsSuspectedByEnough(const GroupState& group, common::Instant now) const;
-  bool IsTurn(const PendingReplacement& wish, common::Instant now) const;
+  bool IsTurn(const PendingReplacement& pending, common::Instant now) const;
   failover::GroupView ViewOf(const GroupState& group, const model::Service& service,
                              const RegisteredDaemons& registered, common::Term new_term,
-                             const ReplacementCause& need, common::Instant now) const;
-  /// @return the daemons that may hold a lease of a term below, and have not said that they let go.
+                             const ReplacementCause& cause, common::Instant now) const;
+  /// @return names of the daemons that may hold a lease of a term below `new_term` and have not
+  /// reported its release.
   std::set<std::string> UnreleasedDaemons(const std::string& service,
                                           const RegisteredDaemons& registered,
                                           common::Term new_term, common::Instant now) const;
   std::size_t MaxReportedReplicas(const std::string& service, common::Instant now) const;
   void ExecuteAll(GroupState& group, const std::vector<failover::AttemptAction>& actions,
                   common::Instant now);
-  void Do(GroupState& group, const failover::SendControl& action, common::Instant now);
-  void Do(GroupState& group, const failover::AnnounceFence& action, common::Instant now);
-  void Do(GroupState& group, const failover::WriteRecord& action, common::Instant now);
-  void Do(GroupState& group, const failover::RequestPromotion& action, common::Instant now);
-  void Do(GroupState& group, const failover::AttemptNote& action, common::Instant now);
-  /// Takes a replacement that never came about out of the leadership record.
+  void Execute(GroupState& group, const failover::SendControl& action, common::Instant now);
+  void Execute(GroupState& group, const failover::AnnounceFence& action, common::Instant now);
+  void Execute(GroupState& group, const failover::WriteRecord& action, common::Instant now);
+  void Execute(GroupState& group, const failover::RequestPromotion& action, common::Instant now);
+  void Execute(GroupState& group, const failover::AttemptNote& action, common::Instant now);
   /// Logs which replicas a replacement waits for.
   void LogInfeasible(const failover::GroupView& view, const std::string& reason);
   void DropStaleEntry(GroupState& group, common::Instant now);
@@ -121,7 +127,7 @@
   std::map<CallNumber, std::string> record_writes_;                     // service by call
   std::map<CallNumber, std::string> promotions_;                        // service by call
   common::Instant evaluation_due_{0};
-  bool any_primary_suspected_ = false;  // to some live daemon, at the last look
+  bool any_primary_suspected_ = false;  // by a live daemon, at the last evaluation
   bool store_connected_ = false;
   bool fence_announced_ = false;
 };
--- a/src/proxy/group_set.cc
+++ b/src/proxy/group_set.cc
@@ -7,24 +7,25 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Age of the lease at which its prober asks: the store should have renewed it by then.
+/// Age of the lease at which its prober starts a round: the leadership record should have renewed
+/// it by then.
 constexpr common::Duration kProberRoundAge{550'000};
-/// Age of the lease's round after which a daemon that is not the prober asks by itself.
+/// Age of the lease at which a daemon that is not the prober starts a round itself.
 constexpr common::Duration kOwnRoundAge{780'000};
-/// Age after which all members are asked, not just a majority.
+/// Age of the lease at which a round queries all members, not just a majority.
 constexpr common::Duration kAskAllAge{450'000};
 constexpr common::Duration kOwnRoundPause{200'000};
-/// Time without a lease after which the primary counts as lost.
+/// Time without a lease after which the primary is suspected.
 constexpr common::Duration kLeaselessLimit{500'000};
-/// Time for a new primary, unreachable before it led, to be reached.
+/// Time for connecting to a new primary that was unreachable before it became primary.
 constexpr common::Duration kNewPrimaryGrace{1'200'000};
-/// Time after the group was first seen in which it is not judged.
-constexpr common::Duration kSettling{1'500'000};
-/// An unlisted member that can't be reached is left out of the count after this time.
-constexpr common::Duration kDepartedLimit{1'500'000};
-/// Time for which a write may stay unanswered before no more are sent with it.
+/// Time from the start of the observation of a group in which its primary is not evaluated.
+constexpr common::Duration kEvaluationDelay{1'500'000};
+/// Time after which an unlisted, unreachable member is no longer counted.
+constexpr common::Duration kTerminationLimit{1'500'000};
+/// Time for which a write may stay unanswered before further writes are held back.
 constexpr common::Duration kStallSuspicion{300'000};
-/// Time for which a write may stay unanswered at a primary that answers else.
+/// Time for which a write may stay unanswered at a primary that answers other requests.
 constexpr common::Duration kStallLimit{700'000};
 
 }  // namespace
@@ -35,7 +36,7 @@
     found->second.service = service;
     found->second.observed_since = now;
     found->second.lease_last_held_at = now;
-    watched_.push_back(&found->second);  // until the next look
+    watched_.push_back(&found->second);  // until the next UpdateWatchedGroups
   }
   return found->second;
 }
@@ -74,10 +75,11 @@
     return;
   }
   const group::Confirmation& newest = state->lease.Newest();
-  // A primary that has started again under its id, with nothing, says less than it said before.
+  // A primary that restarted under its id with an empty log reports a lower position than before.
   const std::optional<common::Position> known = state->PrimaryPosition();
-  const bool believed = !settings_.mechanisms.instance_incarnations || !known || *known <= position;
-  if (believed && instance == newest.primary && state->lease.HeldAt(sent, newest.term)) {
+  const bool plausible =
+      !settings_.mechanisms.instance_incarnations || !known || *known <= position;
+  if (plausible && instance == newest.primary && state->lease.HeldAt(sent, newest.term)) {
     state->history.Add({sent, position});
     state->sampled_term = newest.term;
   }
@@ -85,7 +87,7 @@
 
 bool GroupSet::HasTerminated(const Backend& backend, common::Instant now) {
   return backend.unlisted_since && backend.Unreachable() &&
-         now >= *backend.unlisted_since + kDepartedLimit;
+         now >= *backend.unlisted_since + kTerminationLimit;
 }
 
 std::vector<std::string> GroupSet::QuorumMembers(const std::string& service,
@@ -104,11 +106,11 @@
   const auto group = groups_.find(service);
   for (const std::string& id : Members(service)) {
     const Backend& backend = backends_.All().at(id);
-    // A replica whose end is not covered yet may hold a commit that nobody else has.
+    // A replica whose termination is not covered yet may hold the only copy of a commit.
     const bool covered = group != groups_.end() && group->second.covered_terminations.contains(id);
-    const bool departed = covered && HasTerminated(backend, now);
-    const bool leads = group != groups_.end() && id == PrimaryHint(group->second);
-    if (!departed && !leads) {
+    const bool terminated = covered && HasTerminated(backend, now);
+    const bool is_primary = group != groups_.end() && id == PrimaryHint(group->second);
+    if (!terminated && !is_primary) {
       replicas.push_back(id);
     }
   }
@@ -171,8 +173,9 @@
     const auto attempt = record.attempts.find(service);
     const bool begun =
         attempt != record.attempts.end() && attempt->second.replaced_term >= newest.term;
-    // The record may have lost a replacement. A round of the group that began when nobody could act
-    // on a lost claim any more has asked the instances themselves.
+    // The record may have lost a replacement in a restore of the store. Only a round that began
+    // after a lost claim could no longer be acted on is reliable, because it queried the instances
+    // themselves.
     const bool asked_since = newest.started >= record_complete_from_;
     if (newest.term != 0 && !begun && asked_since) {
       state.lease.Renew({newest.term, newest.primary, asked});
@@ -212,8 +215,8 @@
 std::vector<GroupReport> GroupSet::Reports(bool all, common::Instant now) const {
   std::vector<GroupReport> reports;
   for (const auto& [service, state] : groups_) {
-    const bool troubled = IsDegraded(state, now);
-    if (!all && !troubled) {
+    const bool degraded = IsDegraded(state, now);
+    if (!all && !degraded) {
       continue;
     }
     GroupReport report;
@@ -232,7 +235,7 @@
     report.minimum_position = state.minimum_position;
     report.replica_count = Replicas(service, now).size();
     report.primary_suspected = state.primary_suspected;
-    report.degraded = troubled;
+    report.degraded = degraded;
     report.fence_below = state.fence_below;
     report.released_below = state.lease.ReleasedTerm() + 1;
     reports.push_back(std::move(report));
@@ -245,7 +248,8 @@
   if (state.primary_suspected || state.fence_below > 0 || state.minimum_position.lsn > 0) {
     return true;
   }
-  // Who doesn't watch the group is not told of its lease, and misses nothing.
+  // A daemon that does not watch the group receives no renewals of its lease and does not need
+  // them.
   const bool had_a_lease = state.lease.ReleasedTerm() > 0;
   return state.watched ? released || !state.lease.Holds(now) : released && had_a_lease;
 }
@@ -344,21 +348,22 @@
 }
 
 std::string GroupSet::SuspicionReason(const GroupState& state, common::Instant now) const {
-  if (now < state.observed_since + kSettling) {
+  if (now < state.observed_since + kEvaluationDelay) {
     return "";
   }
   const Backend* primary = backends_.All().contains(state.lease.Newest().primary)
                                ? &backends_.All().at(state.lease.Newest().primary)
                                : nullptr;
-  // Who has just learned of a primary that it could not reach before looks once more: the cut that
-  // hid it may be over.
-  const bool known_before = primary != nullptr && primary->Unreachable() &&
-                            *primary->UnreachableSince() < state.term_learned_at;
-  const bool looks_again = known_before && now < state.term_learned_at + kNewPrimaryGrace;
-  if (primary != nullptr && primary->Unreachable() && !looks_again) {
+  // A primary that this daemon could not reach before it became primary gets a grace period: the
+  // partition may be over.
+  const bool unreachable_before = primary != nullptr && primary->Unreachable() &&
+                                  *primary->UnreachableSince() < state.term_learned_at;
+  const bool in_grace_period = unreachable_before && now < state.term_learned_at + kNewPrimaryGrace;
+  if (primary != nullptr && primary->Unreachable() && !in_grace_period) {
     return "unreachable";
   }
-  // Who does not know all members asks for no lease, so the want of one says nothing.
+  // A daemon that does not know all members starts no rounds, so a missing lease is no sign of a
+  // failure.
   const bool leaseless = state.members_known && !state.lease.Holds(now);
   if (leaseless && now >= state.lease_last_held_at + kLeaselessLimit) {
     return "no lease";
@@ -387,16 +392,16 @@
       state.uncovered_terminations.try_emplace(id, now);
     }
   }
-  for (auto departure = state.uncovered_terminations.begin();
-       departure != state.uncovered_terminations.end();) {
-    const auto covering = state.history.Covering(departure->second);
+  for (auto termination = state.uncovered_terminations.begin();
+       termination != state.uncovered_terminations.end();) {
+    const auto covering = state.history.Covering(termination->second);
     if (!covering) {
-      ++departure;
+      ++termination;
       continue;
     }
     state.minimum_position = std::max(state.minimum_position, *covering);
-    state.covered_terminations.insert(departure->first);
-    departure = state.uncovered_terminations.erase(departure);
+    state.covered_terminations.insert(termination->first);
+    termination = state.uncovered_terminations.erase(termination);
   }
 }
 
@@ -427,7 +432,8 @@
     state->log_loss_times.push_back(now);
     return;
   }
-  // It may say that it leads still, with less than was confirmed: nothing of its term is believed.
+  // The restarted instance may still claim to be primary without the confirmed commits, so its term
+  // is released.
   ReleaseTermsBelow(*state, newest.term + 1);
   state->restarted_primary_term = newest.term;
   outbox_.Log(
@@ -447,8 +453,8 @@
 }
 
 void GroupSet::EvaluatePrimary(GroupState& state, common::Instant now) {
-  // Who has yet to connect can't get a lease, so the want of one says nothing of the primary: at a
-  // first start before 1,000 groups 41 primaries were replaced for it.
+  // A daemon without connections to a majority cannot renew a lease, so a missing lease is no sign
+  // of a failed primary. Without this rule, a first start with 1,000 groups replaced 41 primaries.
   if (state.lease.Holds(now) || !ReachesMajority(state, now)) {
     state.lease_last_held_at = now;
   }
@@ -456,19 +462,19 @@
       !state.writes_stalled_since) {
     state.writes_stalled_since = now;
   }
-  const std::string suspicion = SuspicionReason(state, now);
-  const bool lost = !suspicion.empty();
-  if (lost == state.primary_suspected) {
+  const std::string reason = SuspicionReason(state, now);
+  const bool suspected = !reason.empty();
+  if (suspected == state.primary_suspected) {
     return;
   }
-  state.primary_suspected = lost;
+  state.primary_suspected = suspected;
   suspicion_changed_ = true;
-  if (lost) {
+  if (suspected) {
     outbox_.Log("primary_lost",
                 {{"service", state.service},
                  {"primary", state.lease.Newest().primary},
                  {"term", std::to_string(state.lease.Newest().term)},
-                 {"reason", suspicion},
+                 {"reason", reason},
                  {"confirmed_ms_ago", Milliseconds(now - state.lease.Newest().started)}},
                 LogLevel::kWarning);
   } else {
@@ -493,12 +499,12 @@
   }
   state.watched_since = now;
   state.members_known = false;
-  // An opinion needs a while of looking.
+  // The evaluation restarts with a new observation period.
   state.primary_suspected = false;
   state.observed_since = now;
   state.lease_last_held_at = now;
   state.writes_stalled_since.reset();
-  // Groups begin as watched; that one was never asked about says nothing.
+  // Groups start as watched; a change before the first round is not logged.
   if (watched || state.last_round_at.count() > 0) {
     outbox_.Log("group_watched",
                 {{"service", state.service}, {"watched", watched ? "true" : "false"}});
--- a/src/proxy/group_set.h
+++ b/src/proxy/group_set.h
@@ -1,8 +1,9 @@
-// The database groups: who leads, what a read needs, whether the primary is lost.
+// Tracks the database groups: each group's primary, what a read needs, and whether the primary is
+// suspected to have failed.
 //
-// Owns: a read lease, the primary's positions and the opinion about the primary of each group.
-// Invariant: a position sample is taken only from the primary of the lease's term, for a request
-// sent while the lease held. Pure. Thread: its host's.
+// Owns: for each group a read lease, the primary's positions and the failure suspicion about the
+// primary. Invariant: a position sample is taken only from the primary of the lease's term, for a
+// request sent while the lease was held. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <map>
@@ -28,33 +29,35 @@
   std::string service;
   group::ReadLease lease;
   group::PositionHistory history;
-  common::Term fence_below = 0;           // announced by this daemon's attempt
-  common::Term observed_fence = 0;        // announced by any daemon
-  common::Instant observed_since{0};      // when the group was first seen here
-  common::Instant term_learned_at{0};     // when the present primary's term was learned
-  common::Instant lease_last_held_at{0};  // when the lease was last seen held
-  common::Instant last_round_at{0};       // of the last round asked by this daemon
-  std::size_t next_replica = 0;           // rotates the replicas that rounds ask
-  std::optional<common::Instant> oldest_unanswered_write;  // oldest unanswered write at the primary
-  std::optional<common::Instant> writes_stalled_since;     // no write has been answered since
-  /// Replicas that ended, perhaps with the only copy of a commit, and when that was noticed; until
-  /// a position of the primary from then on is known.
+  common::Term fence_below = 0;           // announced by this daemon's attempt; 0: none
+  common::Term observed_fence = 0;        // highest that any daemon announced
+  common::Instant observed_since{0};      // start of the present observation
+  common::Instant term_learned_at{0};     // when the primary's term was learned
+  common::Instant lease_last_held_at{0};  // when the lease was last held
+  common::Instant last_round_at{0};       // start of this daemon's last round
+  std::size_t next_replica = 0;           // rotates the replicas that rounds query
+  std::optional<common::Instant> oldest_unanswered_write;  // time it was sent to the primary
+  std::optional<common::Instant> writes_stalled_since;     // none answered since
+  /// Replicas that terminated, perhaps with the only copy of a commit, by id, with the time at
+  /// which that was detected. Kept until a position of the primary from that time or later is
+  /// known.
   std::map<std::string, common::Instant> uncovered_terminations;
-  std::set<std::string> covered_terminations;  // whose departure is covered by `floor`
-  /// When replicas that started again under their id did so, as noticed here: what they held
-  /// before may have been the only copy of a commit. Until `floor` covers it.
+  std::set<std::string>
+      covered_terminations;  // replicas whose termination `minimum_position` covers
+  /// Times at which restarts of replicas under the same id were detected. The log that such a
+  /// replica lost may have held the only copy of a commit. Kept until `minimum_position` covers it.
   std::vector<common::Instant> log_loss_times;
-  common::Term restarted_primary_term = 0;  // whose primary started again under its id
-  common::Position minimum_position;        // a promoted replica must hold at least this
-  bool watched = true;                      // this daemon connects to the instances
+  common::Term restarted_primary_term = 0;  // whose primary restarted under its id
+  common::Position minimum_position;        // a replica must hold it to be promoted
+  bool watched = true;                      // this daemon connects to the group's instances
   common::Instant watched_since{0};
-  /// All members were known at some instant since then. Else the group may look smaller than it is,
-  /// and a majority of it be none.
+  /// True if all members were known at some time since `watched_since`. Otherwise the group may
+  /// look smaller than it is, and an apparent majority may be none.
   bool members_known = false;
-  bool primary_suspected = false;  // this daemon's opinion
-  common::Term sampled_term = 0;   // of the primary that the newest position is of
+  bool primary_suspected = false;  // by this daemon
+  common::Term sampled_term = 0;   // term of the primary that reported the newest position
 
-  /// @return a position that the lease's primary is known to hold, if any.
+  /// @return the newest position that the lease's primary is known to hold, if any.
   std::optional<common::Position> PrimaryPosition() const {
     const bool known = this->sampled_term != 0 && this->sampled_term == this->lease.Newest().term &&
                        this->history.Newest();
@@ -73,102 +76,109 @@
   std::map<std::string, GroupState>& All() { return groups_; }
   const std::map<std::string, GroupState>& All() const { return groups_; }
 
-  /// @return ids of the group's instances.
+  /// @return ids of the group's instances without those that another instance has replaced.
   std::vector<std::string> Members(const std::string& service) const;
 
-  /// @return the primary if reads and writes may go there now, else empty.
+  /// @return the id of the primary if reads and writes may be sent there now, else empty.
   std::string UsablePrimary(const std::string& service, common::Instant now);
 
-  /// Notes what an instance reported to a request sent at an instant.
+  /// Records the position that an instance reported in answer to a request sent at `sent`. Ignored
+  /// unless the instance is the lease's primary and the lease was held at `sent`.
   void RecordPosition(const std::string& service, const std::string& instance,
                       const common::Position& position, common::Instant sent);
 
-  /// @return ids of the group's instances but for those that have ended: a majority is counted over
-  /// these.
+  /// @return ids of the group's instances without those that have terminated: a majority is counted
+  /// over these.
   std::vector<std::string> QuorumMembers(const std::string& service, common::Instant now) const;
 
   /// @return ids of the group's replicas that may hold the only copy of a commit: all but those
-  /// that are no longer listed and have not been reached for a while.
+  /// whose termination `minimum_position` covers.
   std::vector<std::string> Replicas(const std::string& service, common::Instant now) const;
 
-  /// @return the known primary; before one is known, the instance that says so of itself.
+  /// @return the id of the known primary; before one is known, that of the instance whose entry
+  /// claims to be primary, or empty.
   std::string PrimaryHint(const GroupState& state) const;
 
-  /// @return true if a change of primary was learned since the last call.
+  /// @return true if a round of this daemon confirmed a new primary since the last call.
   bool ConsumePrimaryChanged() { return std::exchange(primary_changed_, false); }
 
-  /// @return true if a round of this daemon's was confirmed since the last call.
+  /// @return true if this daemon renewed a lease since the last call, by a round or by the
+  /// leadership record.
   bool ConsumeLeaseRenewed() { return std::exchange(lease_renewed_, false); }
 
-  /// @return true if an opinion about a primary changed since the last call.
+  /// @return true if a primary became suspected, or ceased to be, since the last call.
   bool ConsumeSuspicionChanged() { return std::exchange(suspicion_changed_, false); }
 
-  /// Asks all members now, not only when a round is due.
+  /// Starts a round now, even if none is due.
   void StartRoundNow(const std::string& service, common::Instant now);
 
-  /// Takes a peer's reports. @param counted_from our instant that its ages count from, if known.
-  /// @return true if a lease was let go, of which the peer should hear at once.
+  /// Merges a peer's reports.
+  /// @param counted_from local time that the message's ages count from, if known.
+  /// @return true if a lease was released, which the peer should be notified of at once.
   bool ApplyReports(const PeerMessage& message, std::optional<common::Instant> counted_from);
 
-  /// A new era of the store's history has begun, as far as is known here: replacements begun in the
-  /// former one may be gone from the record.
+  /// Starts a new era of the store's history. The record may lack replacements that were begun in
+  /// the former era.
   void BeginEra(common::Instant now) { record_complete_from_ = now + failover::kTakeoverTime; }
 
-  /// Takes the leadership record as it was at or after an instant: groups without a replacement
-  /// beyond their primary's term have their leases renewed from that instant.
+  /// Applies the leadership record as it was at `asked` or later. Renews the lease from `asked` for
+  /// each group for which the record has no replacement of the primary's term or a later one.
   void RenewFromRecord(const model::LeadershipRecord& record, common::Instant asked);
 
-  /// @return the longest time since a watched group's lease was renewed.
+  /// @return the longest time since the lease of a watched group was renewed.
   common::Duration OldestLeaseAge(common::Instant now) const;
 
-  /// All instances are known that the store lists, as of an instant.
+  /// Records that all instances that the store listed at `as_of` are known.
   void RecordMembersKnown(common::Instant as_of);
 
-  /// @return true if some watched group's members may not all be known.
+  /// @return true if the members of some watched group may not all be known.
   bool MembersIncomplete() const;
 
-  /// Leases are held only by registered daemons: a promoter waits for those alone.
+  /// Sets whether this daemon is registered in the store. Only registered daemons hold leases,
+  /// since a promoter waits for those alone.
   void SetRegistered(bool registered) { registered_ = registered; }
 
-  /// Notes that a write was acknowledged by the primary.
+  /// Handles a write acknowledged by the instance.
   void OnWriteAnswered(const std::string& service, const std::string& instance);
 
-  /// @return true if writes stay unanswered at the primary, so that no more should go there.
+  /// @return true if the primary leaves writes unanswered, so that no more should be sent there.
   bool WritesStalled(const std::string& service, common::Instant now) const;
 
-  /// @return what is told to the other daemons: of all groups, or only of those in trouble.
+  /// @return the reports for the other daemons: of all groups, or only of degraded ones.
   std::vector<GroupReport> Reports(bool all, common::Instant now) const;
 
-  /// Lets go of all terms below. @return true if that was news.
+  /// Releases the lease of all terms below `term`. @return true if any was not released before.
   bool ReleaseTermsBelow(GroupState& state, common::Term term);
 
-  /// @return how many replicas may have held the only copy of a commit and hold it no more.
+  /// @return the number of replicas that lost their log, which may have held the only copy of a
+  /// commit, and whose loss `minimum_position` does not cover yet.
   std::size_t LogLossCount(const std::string& service) const;
 
-  /// An instance has started again under its id, or has lost what it held.
+  /// Handles an instance that restarted under its id, or lost its log.
   void OnMemberRestarted(const model::InstanceEntry& entry, common::Instant now);
 
-  /// This daemon stood still for a while: what it did not hear meanwhile proves nothing.
+  /// Handles the end of a pause of this process. Messages that were missed during the pause are no
+  /// sign of a failure.
   void OnPauseEnded(common::Instant now);
 
-  /// @return true if this daemon asks the group's instances for all others.
+  /// @return true if this daemon queries the group's instances on behalf of all daemons.
   bool IsProber(const std::string& service) const;
 
-  /// Asks for the lease where it is due, forms opinions.
+  /// Starts the rounds that are due and evaluates the primaries of the watched groups.
   void Tick(common::Instant now);
 
  private:
-  /// @return true if all daemons should hear of the group.
+  /// @return true if the group's report goes to all daemons.
   static bool IsDegraded(const GroupState& state, common::Instant now);
   void UpdateWatched(GroupState& state, common::Instant now);
   void StartRound(GroupState& state, common::Instant now);
   std::vector<std::string> RoundTargets(GroupState& state, bool all, common::Instant now);
   void RecordTerminations(GroupState& state, common::Instant now);
   static void CoverLogLosses(GroupState& state);
-  /// Works out which groups this daemon watches, if that may have changed.
+  /// Computes which groups this daemon watches, if that may have changed.
   void UpdateWatchedGroups(common::Instant now);
   void EvaluatePrimary(GroupState& state, common::Instant now);
-  /// @return true if this daemon has connections to a majority of the group's members.
+  /// @return true if this daemon has open connections to a majority of the group's members.
   bool ReachesMajority(const GroupState& state, common::Instant now) const;
   static bool HasTerminated(const Backend& backend, common::Instant now);
   std::string SuspicionReason(const GroupState& state, common::Instant now) const;
@@ -178,16 +188,16 @@
   const relay::role_map& roles_;
   Outbox& outbox_;
   std::map<std::string, GroupState> groups_;
-  /// The groups that this daemon watches: of 1,000 most daemons watch none, and each tick must not
-  /// walk them all. Entries of a map stay where they are.
+  /// The groups that this daemon watches. Most daemons of a deployment of 1,000 groups watch none,
+  /// so a tick must not walk all groups. The pointers stay valid because map entries do not move.
   std::vector<GroupState*> watched_;
-  std::uint64_t seen_watch_changes_ = 0;  // of the backends, when `watched_` was worked out
-  std::size_t seen_group_count_ = 0;      // then
+  std::uint64_t seen_watch_changes_ = 0;  // of the backends, when `watched_` was computed
+  std::size_t seen_group_count_ = 0;      // the number of groups at that time
   bool primary_changed_ = false;
   bool lease_renewed_ = false;
   bool suspicion_changed_ = false;
   bool registered_ = false;
-  /// From when on no replacement that the record does not name can come about any more.
+  /// Time from which on no replacement can take effect that the record lacks.
   common::Instant record_complete_from_{0};
 };
 
--- a/src/proxy/lease_renewer.cc
+++ b/src/proxy/lease_renewer.cc
@@ -3,14 +3,15 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Age of a lease at which a daemon reads by itself what the reader should have told it.
+/// Age of a lease at which a daemon reads the record itself: heartbeats should have renewed the
+/// lease by then.
 constexpr common::Duration kOwnReadAge{700'000};
 constexpr common::Duration kOwnReadPause{200'000};
 
 }  // namespace
 
 bool LeaseRenewer::IsReader() const {
-  // Before the others are known, each daemon would read for all.
+  // Without known roles, each daemon would consider itself the reader.
   return roles_.known() &&
          (roles_.coordinators().empty() || roles_.coordinators().front() == settings_.name);
 }
--- a/src/proxy/lease_renewer.h
+++ b/src/proxy/lease_renewer.h
@@ -1,12 +1,13 @@
-// Renews the read leases of all groups by one read of the leadership record.
+// Renews the read leases of all groups with one read of the leadership record.
 //
 // Every promotion is announced in the record before anything is fenced for it, and waits for the
-// lease time or for every registered daemon. So a daemon that has read, at some instant, that no
-// replacement beyond the known primary's term was begun may read at that primary for the lease time
-// from then on. One daemon reads the record for all; the others hear of it in heartbeats.
+// lease time or for every registered daemon to release its lease. If a read of the record shows no
+// replacement of the known primary's term or a later one, a daemon may therefore read at that
+// primary for the lease time, counted from when it sent that read. One daemon reads the record for
+// all; the others receive the result in heartbeats.
 //
-// Owns: when the record is read. Invariant: a lease is renewed only from the instant at which the
-// read was sent. Pure. Thread: its host's.
+// Owns: the schedule of these reads. Invariant: a lease is renewed only from the time at which the
+// read was sent. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <optional>
@@ -24,16 +25,18 @@
                Outbox& outbox)
       : settings_(settings), groups_(groups), roles_(roles), outbox_(outbox) {}
 
-  /// @return true if this daemon reads the record for all.
+  /// @return true if this daemon reads the record for all daemons.
   bool IsReader() const;
 
-  /// Reads the record of the store's era if it is due.
+  /// Starts a read of the record of the store's era if one is due.
   void Tick(bool store_connected, std::uint64_t era, common::Instant now);
 
-  /// @return the era whose record was asked for last.
+  /// @return the era whose record was requested last.
   std::uint64_t RequestedEra() const { return requested_era_; }
 
-  /// Takes the record. @return true if the call was ours.
+  /// Handles the answer to a read.
+  /// @param record nothing if the read failed.
+  /// @return true if this object made the call.
   bool OnReadAnswered(CallNumber call, const std::optional<model::LeadershipRecord>& record);
 
  private:
--- a/src/proxy/peer_message.cc
+++ b/src/proxy/peer_message.cc
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t kNoAge = -1;
 
-/// Rates are sent as whole thousandths: shorter than a double.
+/// Rates are encoded as whole thousandths, which are shorter than a double.
 constexpr double kThousandths = 1'000;
 
 std::uint64_t ThousandthsOf(double value) {
@@ -113,7 +113,7 @@
     list.members.push_back(MemberFrom(list.zone, each));
   }
   list.digest = membership::digest_of(list.members);
-  // Earlier versions do not send it.
+  // Absent in messages of earlier versions.
   if (value.size() > 2) {
     list.moved = value.at(2).get<std::vector<std::string>>();
   }
@@ -138,7 +138,7 @@
   for (const json& each : next()) {
     view.lists.push_back(ZoneListFrom(each));
   }
-  // Earlier versions do not send it: their hubs count as they did.
+  // Absent in messages of earlier versions, whose hubs count as informed.
   view.informed = field < value.size() ? next().get<bool>() : view.from_hub;
   view.epoch = field < value.size() ? next().get<std::uint64_t>() : 0;
   view.zones = field < value.size() ? next().get<std::size_t>() : 0;
@@ -183,7 +183,7 @@
   if (value.empty()) {
     return {};
   }
-  // Earlier versions know of no eras.
+  // Earlier versions send no era.
   const std::uint64_t era = value.size() > 3 ? value.at(3).get<std::uint64_t>() : 0;
   return {{value.at(0).get<std::uint64_t>(), era},
           value.at(1).get<std::vector<std::string>>(),
@@ -251,9 +251,9 @@
     for (const json& group : next()) {
       message.groups.push_back(GroupFromJson(group));
     }
-    // Earlier versions send all groups in one message.
+    // Absent in messages of earlier versions, which send all groups in one message.
     message.is_continuation = field < whole.size() && next().get<bool>();
-    // Earlier versions know of no eras: what they tell is older than any.
+    // Earlier versions send no era; their revisions count as older than any with an era.
     const auto era = [&] { return field < whole.size() ? next().get<std::uint64_t>() : 0; };
     message.configuration_revision.era = era();
     message.instances_revision.era = era();
--- a/src/proxy/peer_message.h
+++ b/src/proxy/peer_message.h
@@ -1,8 +1,8 @@
-// Heartbeats between daemons.
+// Defines the heartbeat message between daemons and its encoding.
 //
-// Owns: the typed message and its encoding (CBOR). Invariant: ages are counted from the moment of
-// sending, so a receiver that knows which of its own messages the sender had seen can place them on
-// its own clock without trusting the other's. Thread: any (values only).
+// Owns: the typed message and its encoding (CBOR). Invariant: ages are counted from the time of
+// sending. A receiver that knows which of its own messages the sender had received can map them to
+// its own clock without relying on the sender's. Thread-safe: values only.
 #pragma once
 
 #include <cstdint>
@@ -21,46 +21,46 @@
 
 namespace valvekeel::proxy {
 
-/// What a daemon knows of one database group.
+/// A daemon's view of one database group.
 struct GroupReport {
   std::string service;
   common::Term term = 0;
   std::string primary;
-  std::optional<common::Duration> confirmation_age;  // of the read lease's newest round
+  std::optional<common::Duration> confirmation_age;  // since the read lease's newest renewal began
   std::optional<common::Duration> sample_age;        // of `sample`
-  common::Position sample;                           // the primary's position, see PositionHistory
-  common::Position minimum_position;                 // that a promoted replica must hold
-  std::size_t replica_count = 0;                     // that the sender counts
+  common::Position sample;                           // position of the primary, see PositionHistory
+  common::Position minimum_position;                 // a replica must hold it to be promoted
+  std::size_t replica_count = 0;                     // counted by the sender
   bool primary_suspected = false;
-  bool degraded = false;            // all should hear of it; not sent
-  common::Term fence_below = 0;     // all are asked to let go of terms below
-  common::Term released_below = 0;  // the sender has let go of terms below
+  bool degraded = false;            // the report goes to all daemons; not encoded
+  common::Term fence_below = 0;     // all daemons are asked to release leases of terms below
+  common::Term released_below = 0;  // the sender has released leases of terms below
 };
 
 struct PeerMessage {
   std::string name;
   std::string zone;
-  std::uint64_t incarnation = 0;  // of the sender, chosen at its start
+  std::uint64_t incarnation = 0;  // of the sender's process, set at its start
   std::uint64_t sequence = 0;     // counts the sender's messages to the receiver
-  std::uint64_t echoed = 0;       // highest sequence that the sender got from the receiver
+  std::uint64_t echoed = 0;       // highest sequence that the sender received from the receiver
   std::uint64_t echoed_incarnation = 0;
   common::Duration interval{0};  // until the next message to the receiver, at the latest
   bool store_connected = false;
   bool stopping = false;
   std::uint64_t configuration_version = 0;
-  model::Revision configuration_revision;  // of the store: newest that the sender has heard of
+  model::Revision configuration_revision;  // newest that the sender knows
   model::Revision instances_revision;      // the same of the list of instances
   std::uint32_t capacity = 0;              // of the sender's machine, thousandths of a core
-  membership::view_message view;           // in a large deployment
-  std::uint64_t proven_version = 0;        // newest version known to have been the store's newest
-  std::optional<common::Duration> proof_age;  // since that was read
+  membership::view_message view;           // membership, in a large deployment
+  std::uint64_t proven_version = 0;        // newest that a read has proved to be the store's newest
+  std::optional<common::Duration> proof_age;  // since that read was sent
   tenants::rate_message rates;
-  evacuation::view_message evacuations;  // if zones can be evacuated
+  evacuation::view_message evacuations;  // empty if zones cannot be evacuated
   std::vector<GroupReport> groups;
-  bool is_continuation = false;  // its groups belong to those of the message before
+  bool is_continuation = false;  // its groups add to those of the preceding message
 };
 
-/// Why bytes are not a message.
+/// Why bytes could not be decoded.
 struct PeerMessageError {
   std::string reason;
 };
--- a/src/proxy/peer_table.cc
+++ b/src/proxy/peer_table.cc
@@ -7,19 +7,19 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Own messages remembered for each peer.
+/// Number of own messages whose send time is kept for each peer.
 constexpr std::size_t kSentKept = 64;
-/// Intervals of a peer without a message after which it does not count as alive.
+/// Announced intervals without a message after which a peer does not count as alive.
 constexpr int kMissedIntervals = 3;
 
-/// Adds the reports of groups that the newer ones don't tell of.
+/// Adds the earlier reports of groups that are missing in the newer ones.
 void AddMissing(const std::vector<GroupReport>& before, std::vector<GroupReport>& newer) {
-  std::set<std::string> told;
+  std::set<std::string> services;
   for (const GroupReport& report : newer) {
-    told.insert(report.service);
+    services.insert(report.service);
   }
   for (const GroupReport& report : before) {
-    if (told.insert(report.service).second) {
+    if (services.insert(report.service).second) {
       newer.push_back(report);
     }
   }
@@ -56,17 +56,18 @@
   }
   Peer& peer = peers_[from];
   peer.address = from;
-  // A later life may have a lower number if the time of day was set back in between.
-  const bool another = message.incarnation != peer.incarnation;
-  const bool new_life = another && (message.incarnation > peer.incarnation || !Alive(peer, now));
+  // A later incarnation may have a lower number if the system clock was set back in between.
+  const bool different = message.incarnation != peer.incarnation;
+  const bool new_incarnation =
+      different && (message.incarnation > peer.incarnation || !Alive(peer, now));
   const bool newer =
       message.incarnation == peer.incarnation && message.sequence > peer.highest_sequence;
-  if (!new_life && !newer) {
+  if (!new_incarnation && !newer) {
     return std::nullopt;
   }
   peer.name = message.name;
-  if (new_life) {
-    // It knows nothing of what was told before.
+  if (new_incarnation) {
+    // A restarted peer has lost all that was sent to it.
     peer.last_echoed_sent_at = common::Instant(0);
     peer.counts_reported_since.reset();
   }
@@ -78,7 +79,7 @@
     AddMissing(before, peer.last.groups);
   }
   peer.looks_for_hubs = membership::live_view::wants_introduction(message.view);
-  peer.last.view = {};  // taken by the membership
+  peer.last.view = {};  // consumed by the membership
   peer.suspects_primary =
       std::any_of(peer.last.groups.begin(), peer.last.groups.end(),
                   [](const GroupReport& report) { return report.primary_suspected; });
