--- a/tests/proxy/backend_set_test.cc
+++ b/tests/proxy/backend_set_test.cc
@@ -11,7 +11,7 @@
 constexpr Instant kStart{100'000'000};
 constexpr Duration kLong{5'000'000};
 
-class NoObserver : public ConnectionObserver {
+class NoOpObserver : public ConnectionObserver {
  public:
   void OnAnswer(Backend&, Connection&, const OutstandingRequest&, const model::Reply&,
                 Instant) override {}
@@ -19,8 +19,8 @@
   void OnCapacity(Instant) override {}
 };
 
-/// Counts what it is told of an instance's life.
-class CountingLives : public warm_up::life_observer {
+/// Counts the notifications about an instance's starts.
+class CountingWarmUpObserver : public warm_up::life_observer {
  public:
   void may_have_restarted(const model::InstanceEntry&, Instant) override { ++restarts; }
   void same_life(const model::InstanceEntry&) override { ++same_lives; }
@@ -31,18 +31,18 @@
   int contacts = 0;
 };
 
-class CountingRestarts : public RestartObserver {
+class CountingRestartObserver : public RestartObserver {
  public:
   void OnRestarted(const model::InstanceEntry&, Instant) override { ++count; }
 
   int count = 0;
 };
 
-/// One instance with so many open connections.
+/// One instance with a given number of open connections.
 struct BackendFixture {
   BackendFixture(std::size_t connections, bool watched) {
     backends.SetObserver(&observer);
-    backends.SetWarmUpObserver(&lives);
+    backends.SetWarmUpObserver(&warm_up_observer);
     model::InstanceEntry entry;
     entry.id = "i";
     entry.service = "group";
@@ -58,43 +58,43 @@
     }
   }
 
-  /// Opens a connection more. @return its number.
+  /// Opens one more connection. @return its number.
   ConnectionNumber OpenOne(Instant now) {
     outbox.Take();
-    backends.SetConnectionLimit("group", Count() + 1);
+    backends.SetConnectionLimit("group", ConnectionCount() + 1);
     REQUIRE(backends.Open(*backends.Find("i"), now));
     const ConnectionNumber number = std::get<OpenConnection>(outbox.Take().back()).connection;
     backends.OnOpened(number, now);
     return number;
   }
 
-  ConnectionNumber First() { return backends.Find("i")->Connections().begin()->first; }
+  ConnectionNumber FirstConnection() { return backends.Find("i")->Connections().begin()->first; }
 
-  std::size_t Count() { return backends.Find("i")->Connections().size(); }
+  std::size_t ConnectionCount() { return backends.Find("i")->Connections().size(); }
 
   Outbox outbox;
-  NoObserver observer;
-  CountingLives lives;
+  NoOpObserver observer;
+  CountingWarmUpObserver warm_up_observer;
   BackendSet backends{outbox};
 };
 
 }  // namespace
 
-TEST_CASE("Connections that nobody uses are given up, but for one", "[proxy]") {
-  // Found by incident inc-5424 of noms: for three seconds after all daemons had lost power, their
-  // instances held their old connections and rejected the new ones.
+TEST_CASE("Idle connections are closed, except for one", "[proxy]") {
+  // Guards against connections that outlive their daemons: after all daemons lose power, the
+  // instances keep the old connections for three seconds and reject new ones.
   BackendFixture fixture(4, true);
   fixture.backends.Tick(kStart + Duration(600'000));
-  CHECK(fixture.Count() == 4);
-  // Kept for four seconds, three quarters of what the instances take were held at the moment of the
-  // loss (trouble-2 of the new site, seed 3).
+  CHECK(fixture.ConnectionCount() == 4);
+  // With an idle limit of four seconds, three quarters of the connections that the instances accept
+  // were held at the time of the power loss.
   fixture.backends.Tick(kStart + Duration(800'000));
-  CHECK(fixture.Count() == 1);
+  CHECK(fixture.ConnectionCount() == 1);
 }
 
-TEST_CASE("An instance that took no more connections is tried again soon", "[proxy]") {
-  // Found by trouble-1 of the new site: after a loss of power the connections of earlier lives go
-  // one after another, and each pause that outlasts the first of them is time without service.
+TEST_CASE("An instance that rejected a connection is retried after a short pause", "[proxy]") {
+  // After a power loss the connections of earlier incarnations end one after another. A pause that
+  // is longer than the time to the first end adds time without service.
   BackendFixture fixture(1, true);
   Backend& backend = *fixture.backends.Find("i");
   fixture.backends.SetConnectionLimit("group", 2);
@@ -109,17 +109,17 @@
 TEST_CASE("An instance that is not watched keeps no connection", "[proxy]") {
   BackendFixture fixture(2, false);
   fixture.backends.Tick(kStart + kLong);
-  CHECK(fixture.Count() == 0);
+  CHECK(fixture.ConnectionCount() == 0);
 }
 
 TEST_CASE("Without a limit no connection is opened", "[proxy]") {
   BackendFixture fixture(0, true);
-  CHECK(fixture.Count() == 0);
+  CHECK(fixture.ConnectionCount() == 0);
 }
 
 TEST_CASE("Where many daemons share an instance each opens one connection at a time", "[proxy]") {
-  // Found on the large site: when all daemons returned, each statement that waited made its owner
-  // open a connection more, and the handshakes held the slots for seconds.
+  // Guards against a burst of handshakes: when all daemons restart, each queued statement would
+  // open one more connection, and the handshakes would occupy the slots for seconds.
   BackendFixture fixture(1, true);
   fixture.backends.SetConnectionLimit("group", 10);
   Backend& backend = *fixture.backends.Find("i");
@@ -131,7 +131,8 @@
   CHECK_FALSE(fixture.backends.MayOpenFor(backend, waiting));
 }
 
-TEST_CASE("The instances of a service are found by it, also after they moved or ended", "[proxy]") {
+TEST_CASE("Instances are found by service, also after they changed service or terminated",
+          "[proxy]") {
   BackendFixture fixture(1, true);
   model::InstanceEntry other;
   other.id = "a";
@@ -150,82 +151,82 @@
   CHECK(fixture.backends.IdsOf("elsewhere").empty());
 }
 
-TEST_CASE("An instance that is first connected to is told as such, once", "[proxy][warm_up]") {
+TEST_CASE("The first connection to an instance is reported once", "[proxy][warm_up]") {
   BackendFixture fixture(3, true);
-  CHECK(fixture.lives.contacts == 1);
-  CHECK(fixture.lives.restarts == 0);
+  CHECK(fixture.warm_up_observer.contacts == 1);
+  CHECK(fixture.warm_up_observer.restarts == 0);
 }
 
-TEST_CASE("An instance that is reached again after a break may have started again",
+TEST_CASE("An instance that is reached again after a break may have restarted",
           "[proxy][warm_up]") {
   BackendFixture fixture(1, false);
-  fixture.backends.OnClosed(fixture.First(), kStart);
-  CHECK(fixture.lives.restarts == 0);
+  fixture.backends.OnClosed(fixture.FirstConnection(), kStart);
+  CHECK(fixture.warm_up_observer.restarts == 0);
   fixture.OpenOne(kStart + Duration(50'000));
-  CHECK(fixture.lives.restarts == 1);
+  CHECK(fixture.warm_up_observer.restarts == 1);
   fixture.OpenOne(kStart + Duration(60'000));
-  CHECK(fixture.lives.restarts == 1);
+  CHECK(fixture.warm_up_observer.restarts == 1);
 }
 
-TEST_CASE("An instance that was not reached for a while may have started again",
-          "[proxy][warm_up]") {
+TEST_CASE("An instance that was unreachable for a while may have restarted", "[proxy][warm_up]") {
   BackendFixture fixture(1, false);
-  fixture.backends.Close(*fixture.backends.Find("i"), fixture.First());
+  fixture.backends.Close(*fixture.backends.Find("i"), fixture.FirstConnection());
   fixture.backends.SetConnectionLimit("group", 1);
   REQUIRE(fixture.backends.Open(*fixture.backends.Find("i"), kStart));
-  fixture.backends.OnOpenFailed(fixture.First(), OpenFailure::kRefused, model::ErrorCode::kFailed,
-                                kStart);
+  fixture.backends.OnOpenFailed(fixture.FirstConnection(), OpenFailure::kRefused,
+                                model::ErrorCode::kFailed, kStart);
   fixture.OpenOne(kStart + kLong);
-  CHECK(fixture.lives.restarts == 1);
+  CHECK(fixture.warm_up_observer.restarts == 1);
 }
 
-TEST_CASE("A connection that outlives the break of another takes the doubt away",
+TEST_CASE("A connection that outlives the break of another shows that there was no restart",
           "[proxy][warm_up]") {
   BackendFixture fixture(2, true);
   const Instant broken = kStart + kLong;
-  const ConnectionNumber lost = fixture.First();
+  const ConnectionNumber lost = fixture.FirstConnection();
   fixture.backends.OnClosed(lost, broken);
   fixture.OpenOne(broken);
-  REQUIRE(fixture.lives.restarts == 1);
+  REQUIRE(fixture.warm_up_observer.restarts == 1);
   fixture.backends.QueueControlRequest(
       "i", {model::ControlKind::kStatus, 0}, [](const auto&, Instant) {}, broken);
   const ConnectionNumber asked = std::get<SendRequests>(fixture.outbox.Take().back()).connection;
   model::Reply reply;
   reply.succeeded = true;
   fixture.backends.OnAnswered(asked, reply, broken + Duration(1'000));
-  CHECK(fixture.lives.same_lives == 1);
+  CHECK(fixture.warm_up_observer.same_lives == 1);
 }
 
-TEST_CASE("A daemon that gave its connections up a moment ago need not ask", "[proxy][warm_up]") {
+TEST_CASE("A daemon that just closed its own connections suspects no restart", "[proxy][warm_up]") {
   BackendFixture fixture(1, false);
-  fixture.backends.Close(*fixture.backends.Find("i"), fixture.First());
+  fixture.backends.Close(*fixture.backends.Find("i"), fixture.FirstConnection());
   fixture.OpenOne(kStart + Duration(100'000));
-  CHECK(fixture.lives.contacts == 1);
-  fixture.backends.Close(*fixture.backends.Find("i"), fixture.First());
+  CHECK(fixture.warm_up_observer.contacts == 1);
+  fixture.backends.Close(*fixture.backends.Find("i"), fixture.FirstConnection());
   fixture.OpenOne(kStart + kLong);
-  CHECK(fixture.lives.contacts == 2);
-  CHECK(fixture.lives.restarts == 0);
+  CHECK(fixture.warm_up_observer.contacts == 2);
+  CHECK(fixture.warm_up_observer.restarts == 0);
 }
 
-TEST_CASE("A new start under an id ends all that was held of the former life", "[proxy]") {
+TEST_CASE("A restart under an id discards all state of the former incarnation", "[proxy]") {
   BackendFixture fixture(2, true);
-  CountingRestarts restarts;
+  CountingRestartObserver restarts;
   fixture.backends.SetRestartObserver(&restarts);
   model::InstanceEntry entry = fixture.backends.Find("i")->Entry();
   entry.incarnation = 7;
-  fixture.backends.SetEntry(entry, kStart);  // the first word of its start is no restart
-  REQUIRE(fixture.Count() == 2);
+  fixture.backends.SetEntry(entry, kStart);  // the first known incarnation is no restart
+  REQUIRE(fixture.ConnectionCount() == 2);
   fixture.backends.Find("i")->status = model::InstanceStatus{};
   entry.incarnation = 8;
   fixture.backends.SetEntry(entry, kStart + kLong);
-  CHECK(fixture.Count() == 0);
+  CHECK(fixture.ConnectionCount() == 0);
   CHECK_FALSE(fixture.backends.Find("i")->status);
   CHECK(restarts.count == 1);
   fixture.backends.SetEntry(entry, kStart + kLong);
   CHECK(restarts.count == 1);
 }
 
-TEST_CASE("An id whose address another instance answers is no member beside that one", "[proxy]") {
+TEST_CASE("An instance whose address another instance answers at has that one as successor",
+          "[proxy]") {
   BackendFixture fixture(1, true);
   model::InstanceEntry entry = fixture.backends.Find("i")->Entry();
   entry.id = "other";
--- a/tests/proxy/backend_test.cc
+++ b/tests/proxy/backend_test.cc
@@ -9,10 +9,10 @@
 using common::Instant;
 
 constexpr Instant kStart{100'000'000};
-constexpr Duration kUsual{10'000};
-constexpr Duration kQueued{60'000};
-constexpr Urgency kImpatient{2, Duration(200'000)};
-constexpr Urgency kPatient{2, Duration(400'000)};
+constexpr Duration kUsualLatency{10'000};
+constexpr Duration kQueuedLatency{60'000};
+constexpr Urgency kMoreUrgent{2, Duration(200'000)};
+constexpr Urgency kLessUrgent{2, Duration(400'000)};
 
 Backend MakeBackend() {
   model::InstanceEntry entry;
@@ -21,7 +21,7 @@
   return Backend(entry);
 }
 
-void Answer(Backend& backend, Duration latency, int times) {
+void RecordAnswers(Backend& backend, Duration latency, int times) {
   for (int i = 0; i < times; ++i) {
     backend.RecordLatency(latency);
   }
@@ -37,36 +37,38 @@
 
 }  // namespace
 
-TEST_CASE("A congested instance is left to operations with less time", "[proxy]") {
-  // Found by trouble-1 of the new site: with all replicas behind, one primary had 15% more work
-  // than it has slots for; patient reads of 22 ms took a third of them, and most others came late.
+TEST_CASE("A congested instance is reserved for operations with a shorter target latency",
+          "[proxy]") {
+  // Guards against reads with a long target latency that use the slots of a congested instance:
+  // with all replicas lagging, a primary gets 15 % more work than it has slots for, such reads of
+  // 22 ms take a third of the slots, and most other operations miss their target latency.
   Backend backend = MakeBackend();
-  Answer(backend, kUsual, 100);
-  backend.OnStarved(kImpatient, kStart);
-  CHECK_FALSE(backend.ReservedForMoreUrgent(kPatient, kStart));
-  Answer(backend, kQueued, 20);
+  RecordAnswers(backend, kUsualLatency, 100);
+  backend.OnStarved(kMoreUrgent, kStart);
+  CHECK_FALSE(backend.ReservedForMoreUrgent(kLessUrgent, kStart));
+  RecordAnswers(backend, kQueuedLatency, 20);
   CHECK(backend.Congested());
-  CHECK(backend.ReservedForMoreUrgent(kPatient, kStart));
-  CHECK_FALSE(backend.ReservedForMoreUrgent(kImpatient, kStart));
-  CHECK_FALSE(backend.ReservedForMoreUrgent({1, kPatient.target_latency}, kStart));
-  CHECK_FALSE(backend.ReservedForMoreUrgent(kPatient, kStart + Duration(200'000)));
+  CHECK(backend.ReservedForMoreUrgent(kLessUrgent, kStart));
+  CHECK_FALSE(backend.ReservedForMoreUrgent(kMoreUrgent, kStart));
+  CHECK_FALSE(backend.ReservedForMoreUrgent({1, kLessUrgent.target_latency}, kStart));
+  CHECK_FALSE(backend.ReservedForMoreUrgent(kLessUrgent, kStart + Duration(200'000)));
 }
 
-TEST_CASE("An instance that has been slow for long is not congested", "[proxy]") {
+TEST_CASE("An instance that is slow for a long time does not count as congested", "[proxy]") {
   Backend backend = MakeBackend();
-  Answer(backend, kUsual, 100);
-  Answer(backend, kQueued, 20);
+  RecordAnswers(backend, kUsualLatency, 100);
+  RecordAnswers(backend, kQueuedLatency, 20);
   CHECK(backend.Congested());
-  Answer(backend, kQueued, 10'000);
+  RecordAnswers(backend, kQueuedLatency, 10'000);
   CHECK_FALSE(backend.Congested());
 }
 
 TEST_CASE("A congested instance gets one statement at a time", "[proxy]") {
   Backend backend = MakeBackend();
-  Answer(backend, kUsual, 100);
+  RecordAnswers(backend, kUsualLatency, 100);
   AddInFlight(backend, 1);
   CHECK(backend.HasCapacity());
-  Answer(backend, kQueued, 20);
+  RecordAnswers(backend, kQueuedLatency, 20);
   CHECK_FALSE(backend.HasCapacity());
 }
 
--- a/tests/proxy/catalog_state_test.cc
+++ b/tests/proxy/catalog_state_test.cc
@@ -24,7 +24,7 @@
   return {"main", version, false, configuration};
 }
 
-/// A catalog with the calls that it makes.
+/// A catalog and the calls that it makes.
 struct CatalogFixture {
   ProxySettings settings;
   Outbox outbox;
@@ -50,8 +50,8 @@
 
 }  // namespace
 
-TEST_CASE("Gone and back within one answer leaves the instance listed", "[proxy]") {
-  // Found on noms trouble-3: three primaries were replaced as no longer listed.
+TEST_CASE("An instance removed and added again within one answer stays listed", "[proxy]") {
+  // Guards against a replacement of a primary whose entry is removed and added within one answer.
   CatalogFixture fixture;
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 5, {Instance("i-1", 4)}});
   const CatalogUpdate update = fixture.Answer(
@@ -65,7 +65,7 @@
   CHECK(other.removed_instances == std::vector<std::string>{"i-1"});
 }
 
-TEST_CASE("An instance that drains goes on to do so when the store returns from an older copy",
+TEST_CASE("A draining instance stays draining when the store is restored from an older copy",
           "[proxy]") {
   CatalogFixture fixture;
   const auto listed = [](std::uint64_t era, std::uint64_t sequence, bool draining) {
@@ -81,12 +81,13 @@
   fixture.step = Duration(100'000);
   CHECK(fixture.Answer(Collection::kInstances, {ReadStatus::kHistoryGone, {0, 2}, {}})
             .instances.empty());
-  // The copy has what the instance said before.
+  // The restored copy has an earlier entry of the instance.
   CHECK(fixture.Answer(Collection::kInstances, listed(2, 7, false)).instances.empty());
   CHECK(fixture.catalog.Instances().at("i-1").draining);
 }
 
-TEST_CASE("Instances that the copy lacks are kept until they could be written again", "[proxy]") {
+TEST_CASE("Instances that a restored copy lacks are kept until they can be written again",
+          "[proxy]") {
   CatalogFixture fixture;
   CatalogObject object = Instance("i-1", 4);
   object.revision.era = 1;
@@ -100,7 +101,7 @@
   CHECK(later.removed_instances == std::vector<std::string>{"i-1"});
 }
 
-TEST_CASE("The version in force never falls", "[proxy]") {
+TEST_CASE("The configuration version in force never falls", "[proxy]") {
   CatalogFixture fixture;
   CHECK(
       fixture.Answer(Collection::kConfiguration, {ReadStatus::kOk, 5, {Version(4)}}).configuration);
@@ -125,7 +126,7 @@
   CHECK(update.removed_instances == std::vector<std::string>{"i-old"});
 }
 
-TEST_CASE("An empty list of the leadership says that there is no record", "[proxy]") {
+TEST_CASE("An empty list of the leadership collection means that there is no record", "[proxy]") {
   CatalogFixture fixture;
   fixture.catalog.SetInterest({});  // the roles are known
   const CatalogUpdate update = fixture.Answer(Collection::kLeadership, {ReadStatus::kOk, 5, {}});
@@ -133,7 +134,7 @@
   CHECK(update.leadership->second == 0);
 }
 
-TEST_CASE("A watch that misses what another daemon knows is asked anew", "[proxy]") {
+TEST_CASE("A watch that lacks revisions reported by another daemon is restarted", "[proxy]") {
   CatalogFixture fixture;
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 5, {Instance("i-1", 4)}});
   fixture.catalog.Tick(fixture.now);
@@ -150,13 +151,13 @@
     watches += std::holds_alternative<ReadCatalog>(action) ? 1 : 0;
   }
   CHECK(watches == 2);
-  // One that stays behind is not asked again at once.
+  // A watch that stays behind is not restarted again at once.
   fixture.catalog.ApplyRevisions({8, 8}, fixture.now + 4 * limit);
   fixture.catalog.Tick(fixture.now + 4 * limit);
   CHECK(fixture.outbox.Take().empty());
 }
 
-TEST_CASE("A relaxed daemon leaves the leadership alone", "[proxy]") {
+TEST_CASE("A relaxed daemon does not follow the leadership record", "[proxy]") {
   CatalogFixture fixture;
   fixture.catalog.SetInterest({false, false, false, true, false});
   fixture.catalog.Tick(fixture.now);
@@ -172,10 +173,11 @@
   CHECK(fixture.outbox.Take().size() == 1);
 }
 
-TEST_CASE("The reader notices a silent store by its reads, and asks anew when they are answered",
+TEST_CASE("The reader detects an unresponsive store by its reads, and restarts watches afterwards",
           "[proxy]") {
-  // All others rely on its word. It reads the leadership record every 0.4 s; watches of 1.8 s,
-  // which noticed a silent cut before, made 160 calls on a quiet day of the large site.
+  // All other daemons rely on the reader to detect an unresponsive store. It reads the leadership
+  // record every 0.4 s. Detecting it by short watches of 1.8 s instead makes 160 calls in a quiet
+  // run of a large deployment.
   CatalogFixture fixture;
   fixture.catalog.SetInterest({false, true, true, true, true});
   fixture.Answer(Collection::kConfiguration, {ReadStatus::kOk, 5, {Version(3)}});
@@ -187,7 +189,7 @@
   CHECK(fixture.catalog.Connected());
   fixture.catalog.OnProbeResult(false);
   CHECK_FALSE(fixture.catalog.Connected());
-  // What it asks then shows soon whether the store is back.
+  // Its next calls have short timeouts, to detect soon that the store answers again.
   fixture.catalog.Tick(fixture.now);
   std::size_t calls = 0;
   for (const Action& action : fixture.outbox.Take()) {
@@ -196,14 +198,15 @@
     calls += watch && read->read.timeout <= common::Duration(1'500'000) ? 1 : 0;
   }
   CHECK(calls == 2);
-  // The watches were sent while the store was silent: they may never be answered.
+  // The watches were sent while the store was unresponsive, so they may never be answered.
   fixture.catalog.OnProbeResult(true);
   fixture.catalog.Tick(fixture.now);
   CHECK(fixture.outbox.Take().size() >= 2);
 }
 
-TEST_CASE("Before the roles are known nobody follows the leadership record", "[proxy]") {
-  // Found on the grown site: each of 90 daemons listed and watched it at its start.
+TEST_CASE("Before the roles are known no daemon follows the leadership record", "[proxy]") {
+  // Otherwise each daemon of a deployment, 90 for example, lists and watches the record at its
+  // start.
   CatalogFixture fixture;
   fixture.catalog.Tick(fixture.now);
   for (const Action& action : fixture.outbox.Take()) {
@@ -212,9 +215,10 @@
   }
 }
 
-TEST_CASE("An informed daemon without connections asks only after news", "[proxy]") {
-  // Found on the grown site: 90 daemons made 3,628 calls on a quiet day, a third of them watches of
-  // instances that each change ended.
+TEST_CASE("A daemon that receives updates and has no connections calls only after an update",
+          "[proxy]") {
+  // Guards against needless calls: without this rule 90 daemons make 3,628 calls in a quiet run, a
+  // third of them watches of instances that each change ends.
   CatalogFixture fixture;
   fixture.catalog.SetInterest({false, false, false, false, true});
   fixture.Answer(Collection::kConfiguration, {ReadStatus::kOk, 5, {Version(3)}});
@@ -229,15 +233,16 @@
   fixture.catalog.ApplyRevisions({9, 7}, fixture.now);
   fixture.catalog.Tick(fixture.now);
   CHECK(fixture.outbox.Take().size() == 1);
-  // It owns a service now, or serves a session itself.
+  // It now owns a service, or serves a session itself.
   fixture.catalog.SetInterest({false, false, false, true, true});
   fixture.catalog.Tick(fixture.now);
   CHECK(fixture.outbox.Take().size() == 1);
 }
 
-TEST_CASE("At a first start one list shows all daemons, and none asks for instances yet",
+TEST_CASE("At a first start one list returns all daemons, and instances are not read yet",
           "[proxy]") {
-  // Found on the large site: 295 daemons made 4,802 calls before the first request.
+  // Guards against a burst of calls: without the delay 295 daemons make 4,802 calls before the
+  // first request.
   ProxySettings settings;
   settings.first_start = true;
   Outbox outbox;
@@ -259,9 +264,9 @@
   CHECK(calls == 2);
 }
 
-TEST_CASE("Who reads the record no more is not held to its last failed reads", "[proxy]") {
-  // Found on the large site: each daemon that had been reader while the store was away counted as
-  // without the store for the rest of the day, and a primary was not replaced for 20 s.
+TEST_CASE("A daemon that no longer reads the record ignores its last failed reads", "[proxy]") {
+  // Guards against outdated failures: each daemon that was the reader during an outage of the store
+  // would count as disconnected ever after, and a primary was not replaced for 20 s.
   CatalogFixture fixture;
   fixture.catalog.SetInterest({false, true, true, true, true});
   fixture.Answer(Collection::kConfiguration, {ReadStatus::kOk, 5, {Version(3)}});
@@ -275,13 +280,13 @@
   CHECK(fixture.catalog.Connected());
 }
 
-TEST_CASE("A removed instance is news for those who list, and no chase for those who watch",
+TEST_CASE("A removed instance raises the revision, and restarts no watch that is up to date",
           "[proxy]") {
   CatalogFixture fixture;
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 5, {Instance("i-1", 4)}});
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 9, {Instance("i-1", 4, true)}});
   CHECK(fixture.catalog.Revisions().instances == 9);
-  // Another daemon's watch was answered a little later, at a later revision of the store.
+  // Another daemon's watch is answered a little later, at a later revision of the store.
   fixture.catalog.ApplyRevisions({0, 11}, fixture.now);
   fixture.Answer(Collection::kInstances, {ReadStatus::kOk, 12, {}});
   fixture.catalog.Tick(fixture.now);
@@ -292,9 +297,9 @@
   CHECK(fixture.outbox.Take().empty());
 }
 
-TEST_CASE("After a history that is gone the list must not be old", "[proxy]") {
-  // Found by mttt scale-1 and noms scale-2 (CONFIG): a daemon that had just started listed an old
-  // state, was told that the history from there was gone, and listed an old state again.
+TEST_CASE("After an answer that the history is gone, the list must not be old", "[proxy]") {
+  // Guards against an endless loop: a daemon that has just started lists an old state, is answered
+  // that the history from there is gone, and lists an old state again.
   CatalogFixture fixture;
   fixture.catalog.Tick(fixture.now);
   bool first_may_be_old = false;
--- a/tests/proxy/configuration_prover_test.cc
+++ b/tests/proxy/configuration_prover_test.cc
@@ -1,4 +1,4 @@
-// When a read of the configuration shows that the keys in force are the newest.
+// Tests when a read of the configuration proves that the keys in force are the newest.
 
 #include "proxy/configuration_prover.h"
 
@@ -20,7 +20,7 @@
 }
 
 struct ProverFixture {
-  /// Lets a read be made and answered. @return true if it proves something.
+  /// Makes a read and answers it. @return true if it yields a newer proof.
   bool Proves(Instant at) {
     prover.Tick({true, true, true}, at);
     const auto before = admission.proof().newest();
@@ -42,9 +42,10 @@
 
 }  // namespace
 
-TEST_CASE("A store that has just returned from an older copy proves no keys", "[proxy]") {
-  // A version that withdrew a key was acknowledged, and the store returned from a copy without it.
-  // Until the operator's version is written again, a read shows the one before as the newest.
+TEST_CASE("A read of a store that was just restored from an older copy proves no keys", "[proxy]") {
+  // A version that revoked a key is acknowledged, then the store is restored from a copy without
+  // it. Until the operator's version is written again, a read returns the preceding version as the
+  // newest.
   ProverFixture fixture;
   fixture.catalog.ApplyEra(1, "store", kStart);
   CHECK(fixture.Proves(kStart));
@@ -55,11 +56,12 @@
   CHECK(fixture.Proves(returned + metadata::kWrittenAgain));
 }
 
-TEST_CASE("A daemon that has just started takes a read for as old as a return could make it",
+TEST_CASE("A daemon that has just started counts a read as old as a restore could make it",
           "[proxy]") {
-  // Of a day on which most daemons were killed around a return, the one that then read for all took
-  // a zone for in use at its first read, which lacked the zone's evacuation
-  // ("in_use_before_ms=1014" where it had been evacuated for 2 s), and work went there past the
+  // Guards against trusting the first read after a start: when most daemons are killed around a
+  // restore of the store, the new reader's first read may lack what was written before the restore.
+  // Its first read of the evacuations then shows an evacuated zone as in use
+  // ("in_use_before_ms=1014" where it had been evacuated for 2 s), and work is sent there after the
   // limit.
   ProverFixture fixture;
   fixture.catalog.ApplyEra(4, "store", kStart);
--- a/tests/proxy/group_set_test.cc
+++ b/tests/proxy/group_set_test.cc
@@ -11,9 +11,9 @@
 using common::Position;
 
 constexpr Instant kStart{100'000'000};
-constexpr Duration kLongAgo{5'000'000};
+constexpr Duration kLong{5'000'000};
 
-class NoObserver : public ConnectionObserver {
+class NoOpObserver : public ConnectionObserver {
  public:
   void OnAnswer(Backend&, Connection&, const OutstandingRequest&, const model::Reply&,
                 Instant) override {}
@@ -42,7 +42,7 @@
   void ConnectAll(Instant at) {
     backends.SetObserver(&observer);
     for (auto& [id, backend] : backends.All()) {
-      // A round may have begun to open one.
+      // A round may already be opening one.
       if (backend.Connections().empty()) {
         REQUIRE(backends.Open(backend, at));
       }
@@ -50,21 +50,21 @@
     }
   }
 
-  /// Lets an instance end: unlisted and unreachable.
-  void End(const std::string& id, Instant at) {
+  /// Terminates an instance: it is unlisted and unreachable.
+  void Terminate(const std::string& id, Instant at) {
     backends.OnEntryRemoved(id, at);
     backends.Find(id)->OnOpenFailed(at, true);
   }
 
   ProxySettings settings;
   Outbox outbox;
-  NoObserver observer;
+  NoOpObserver observer;
   relay::role_map roles{"me", {}};
   BackendSet backends{outbox};
   GroupSet groups{settings, backends, roles, outbox};
 };
 
-model::LeadershipRecord Begun(common::Term replaced_term) {
+model::LeadershipRecord RecordWithAttempt(common::Term replaced_term) {
   model::LeadershipRecord record;
   record.attempts["group"] = {replaced_term, "a"};
   return record;
@@ -72,30 +72,32 @@
 
 }  // namespace
 
-TEST_CASE("An instance that has ended is no part of a majority", "[proxy]") {
-  // Found by our day crash-while-store-down: after two crashes the two live instances of a group
-  // were no majority of the four that had ever been there, and the new primary was never believed.
+TEST_CASE("A terminated instance does not count toward a majority", "[proxy]") {
+  // Guards against counting terminated instances: after two crashes and replacements the two live
+  // instances of a group are no majority of the four ever listed, and no lease of the new primary
+  // is confirmed.
   GroupFixture fixture;
-  fixture.End("b", kStart);
+  fixture.Terminate("b", kStart);
   CHECK(fixture.groups.QuorumMembers("group", kStart).size() == 3);
-  CHECK(fixture.groups.QuorumMembers("group", kStart + kLongAgo).size() == 2);
+  CHECK(fixture.groups.QuorumMembers("group", kStart + kLong).size() == 2);
 }
 
-TEST_CASE("A replica that ended counts until a position of the primary covers it", "[proxy]") {
+TEST_CASE("A terminated replica counts until a position of the primary covers it", "[proxy]") {
   GroupFixture fixture;
-  fixture.End("b", kStart);
+  fixture.Terminate("b", kStart);
   fixture.groups.Tick(kStart);
-  CHECK(fixture.groups.Replicas("group", kStart + kLongAgo).size() == 2);
+  CHECK(fixture.groups.Replicas("group", kStart + kLong).size() == 2);
   fixture.groups.RecordPosition("group", "p", Position{1, 40}, kStart + Duration(1));
   fixture.groups.Tick(kStart + Duration(2));
-  CHECK(fixture.groups.Replicas("group", kStart + kLongAgo).size() == 1);
+  CHECK(fixture.groups.Replicas("group", kStart + kLong).size() == 1);
   CHECK(fixture.groups.Find("group")->minimum_position == Position{1, 40});
 }
 
-TEST_CASE("An instance whose address another of its service has taken counts no more", "[proxy]") {
-  // On the users' machines a crashed instance comes back with its log under a new id.
+TEST_CASE("An instance whose address another instance of its service has taken is no member",
+          "[proxy]") {
+  // A crashed instance can restart with its log under a new id.
   GroupFixture fixture;
-  fixture.End("b", kStart);
+  fixture.Terminate("b", kStart);
   model::InstanceEntry successor = fixture.backends.Find("b")->Entry();
   successor.id = "b2";
   fixture.backends.SetEntry(successor, kStart);
@@ -103,25 +105,27 @@
   CHECK(fixture.groups.Replicas("group", kStart).size() == 2);
 }
 
-TEST_CASE("The record renews the lease unless it names this term or a later one", "[proxy]") {
+TEST_CASE("The record renews the lease unless it has a replacement of this term or a later one",
+          "[proxy]") {
   GroupFixture fixture;
   const Instant later = kStart + Duration(900'000);
-  fixture.groups.RenewFromRecord(Begun(1), later);
+  fixture.groups.RenewFromRecord(RecordWithAttempt(1), later);
   CHECK(fixture.groups.UsablePrimary("group", later + Duration(200'000)).empty());
-  fixture.groups.RenewFromRecord(Begun(0), later);
+  fixture.groups.RenewFromRecord(RecordWithAttempt(0), later);
   CHECK(fixture.groups.UsablePrimary("group", later + Duration(200'000)) == "p");
 }
 
-TEST_CASE("A daemon that is not registered reads at no primary", "[proxy]") {
+TEST_CASE("A daemon that is not registered has no usable primary", "[proxy]") {
   GroupFixture fixture;
   CHECK(fixture.groups.UsablePrimary("group", kStart) == "p");
   fixture.groups.SetRegistered(false);
   CHECK(fixture.groups.UsablePrimary("group", kStart).empty());
 }
 
-TEST_CASE("A new primary that was cut off before it led is not lost at once", "[proxy]") {
-  // Found by scale-2 of the new site: when a cut healed, three daemons had not reached the promoted
-  // replica yet and replaced it again 1.6 s later.
+TEST_CASE("A new primary that was unreachable before its term is not suspected at once",
+          "[proxy]") {
+  // Guards against a second replacement after a partition: when it heals, daemons that have not
+  // reached the promoted replica yet would suspect it and replace it again.
   GroupFixture fixture;
   const Instant settled = kStart + Duration(2'000'000);
   fixture.backends.Find("a")->OnOpenFailed(settled, true);
@@ -139,7 +143,7 @@
   CHECK_FALSE(fixture.groups.Find("group")->primary_suspected);
   fixture.groups.Tick(learned + Duration(1'300'000));
   CHECK(fixture.groups.Find("group")->primary_suspected);
-  // One that falls silent once it leads is lost at once.
+  // A primary that becomes unreachable after its term was learned is suspected at once.
   GroupFixture other;
   other.groups.ApplyReports(message, settled);
   other.backends.Find("a")->OnOpenFailed(learned, true);
@@ -147,7 +151,7 @@
   CHECK(other.groups.Find("group")->primary_suspected);
 }
 
-TEST_CASE("A peer's fence ends the lease for good", "[proxy]") {
+TEST_CASE("A fence announced by a peer ends the lease for good", "[proxy]") {
   GroupFixture fixture;
   PeerMessage message;
   message.name = "other";
@@ -162,27 +166,26 @@
   CHECK(fixture.groups.UsablePrimary("group", kStart).empty());
 }
 
-TEST_CASE("A daemon does not tell of groups that it does not watch", "[proxy]") {
-  // Found on the grown site: most daemons hold no lease of most groups, and every heartbeat told
-  // so, half a megabyte a second between zones.
+TEST_CASE("A daemon does not report groups that it does not watch", "[proxy]") {
+  // Most daemons hold no lease of most groups. Reporting that in every heartbeat costs half a
+  // megabyte a second between zones.
   GroupFixture fixture;
-  CHECK(fixture.groups.Reports(false, kStart + kLongAgo).size() == 1);
+  CHECK(fixture.groups.Reports(false, kStart + kLong).size() == 1);
   fixture.backends.SetConnectionLimit("group", 0, false);
-  fixture.groups.Tick(kStart + kLongAgo);
-  CHECK(fixture.groups.Reports(false, kStart + kLongAgo).empty());
+  fixture.groups.Tick(kStart + kLong);
+  CHECK(fixture.groups.Reports(false, kStart + kLong).empty());
   fixture.groups.ReleaseTermsBelow(fixture.groups.Get("group", kStart), 2);
-  CHECK(fixture.groups.Reports(false, kStart + kLongAgo).size() == 1);
+  CHECK(fixture.groups.Reports(false, kStart + kLong).size() == 1);
 }
 
-TEST_CASE("Who does not know all members of a group confirms no primary by a round of its own",
+TEST_CASE("A daemon that does not know all members of a group confirms no primary by a round",
           "[proxy]") {
-  // Found on the bench (two regions, a zone cut off): daemons that began to watch a group behind
-  // the cut knew one of its three instances, from a list of long ago: the old primary was its
-  // majority.
+  // Guards against a false majority: with a zone cut off, daemons in it that began to watch a group
+  // knew one of its three instances from an old list, and the former primary alone was a majority.
   ProxySettings settings;
   Outbox outbox;
   const relay::role_map roles{"me", {}};
-  NoObserver observer;
+  NoOpObserver observer;
   BackendSet backends{outbox};
   backends.SetObserver(&observer);
   GroupSet groups{settings, backends, roles, outbox};
@@ -229,40 +232,41 @@
   CHECK(groups.UsablePrimary("group", kStart + Duration(200'000)) == "p");
 }
 
-TEST_CASE("Who does not know all members takes no primary for lost for want of a lease",
+TEST_CASE("A daemon that does not know all members suspects no primary for a missing lease",
           "[proxy]") {
   GroupFixture fixture;
   fixture.ConnectAll(kStart);
   fixture.groups.Find("group")->members_known = false;
   fixture.groups.Tick(kStart);
-  fixture.groups.Tick(kStart + kLongAgo);
+  fixture.groups.Tick(kStart + kLong);
   CHECK_FALSE(fixture.groups.Find("group")->primary_suspected);
-  fixture.groups.RecordMembersKnown(kStart + kLongAgo);
-  fixture.groups.Tick(kStart + kLongAgo);
+  fixture.groups.RecordMembersKnown(kStart + kLong);
+  fixture.groups.Tick(kStart + kLong);
   CHECK(fixture.groups.Find("group")->primary_suspected);
 }
 
-TEST_CASE("Who has yet to connect takes no primary for lost for want of a lease", "[proxy]") {
+TEST_CASE("A daemon that has not connected yet suspects no primary for a missing lease",
+          "[proxy]") {
   GroupFixture fixture;
   fixture.groups.Tick(kStart);
-  fixture.groups.Tick(kStart + kLongAgo);
+  fixture.groups.Tick(kStart + kLong);
   CHECK_FALSE(fixture.groups.Find("group")->primary_suspected);
-  fixture.ConnectAll(kStart + kLongAgo);
-  fixture.groups.Tick(kStart + kLongAgo + kLongAgo);
+  fixture.ConnectAll(kStart + kLong);
+  fixture.groups.Tick(kStart + kLong + kLong);
   CHECK(fixture.groups.Find("group")->primary_suspected);
 }
 
-TEST_CASE("A primary that has started again under its id is let go of, and counts as lost",
+TEST_CASE("The lease of a primary that restarted under its id is released, and it is suspected",
           "[proxy]") {
   GroupFixture fixture;
   const Instant later = kStart + Duration(100'000);
   fixture.groups.OnMemberRestarted(fixture.backends.Find("p")->Entry(), later);
   CHECK(fixture.groups.UsablePrimary("group", later).empty());
-  fixture.groups.Tick(later + kLongAgo);
+  fixture.groups.Tick(later + kLong);
   CHECK(fixture.groups.Find("group")->primary_suspected);
 }
 
-TEST_CASE("What a restarted replica held counts as lost until the primary has told its position",
+TEST_CASE("A restarted replica's log counts as lost until the primary reports its position",
           "[proxy]") {
   GroupFixture fixture;
   const Instant later = kStart + Duration(100'000);
@@ -278,7 +282,7 @@
   CHECK(fixture.groups.Find("group")->minimum_position == Position{1, 41});
 }
 
-TEST_CASE("A primary that says less than it said before is not taken at its word", "[proxy]") {
+TEST_CASE("A lower position than the primary reported before is ignored", "[proxy]") {
   GroupFixture fixture;
   GroupState& group = *fixture.groups.Find("group");
   fixture.groups.RecordPosition("group", "p", Position{1, 40}, kStart + Duration(10));
@@ -289,11 +293,11 @@
   CHECK_FALSE(group.PrimaryPosition());
 }
 
-TEST_CASE("A record that went back with the store renews no lease before the group was asked",
+TEST_CASE("A record restored from an older copy renews no lease before a round of the group",
           "[proxy]") {
-  // The claim of a replacement was acknowledged, and the store returned from a copy without it. The
-  // record read then names no replacement, but the instance that was promoted may lead already: a
-  // lease renewed from it would let callers read at the former primary.
+  // The claim of a replacement is acknowledged, then the store is restored from a copy without it.
+  // The record shows no replacement, but the promoted instance may already be primary: a lease
+  // renewed from this record would allow reads at the former primary.
   GroupFixture fixture;
   GroupState& state = fixture.groups.Get("group", kStart);
   const Instant returned = kStart + Duration(200'000);
@@ -301,7 +305,7 @@
   const Instant read = returned + Duration(300'000);
   fixture.groups.RenewFromRecord({}, read);
   CHECK(state.lease.Newest().started == kStart);
-  // The group itself was asked, but when a claim of before could still be acted on.
+  // A round has queried the group, but at a time when a lost claim could still be acted on.
   state.lease.Renew({1, "p", read});
   fixture.groups.RenewFromRecord({}, read + Duration(400'000));
   CHECK(state.lease.Newest().started == read);
--- a/tests/proxy/peer_table_test.cc
+++ b/tests/proxy/peer_table_test.cc
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-TEST_CASE("A message is the same after encoding, and garbage is refused", "[proxy]") {
+TEST_CASE("A message is the same after encoding and decoding, and truncated bytes are rejected",
+          "[proxy]") {
   PeerMessage message = From("b", 5, 6);
   message.zone = "z";
   message.echoed = 3;
@@ -54,7 +55,7 @@
   }
 }
 
-TEST_CASE("Ages of a peer count from our own message that it had seen", "[proxy]") {
+TEST_CASE("Ages of a peer count from the own message that it had received", "[proxy]") {
   PeerTable table("a", 1);
   table.Add(kOther);
   PeerMessage out;
@@ -67,7 +68,7 @@
   CHECK(*counted == kStart);
 }
 
-TEST_CASE("An echo of an earlier life of ours places nothing", "[proxy]") {
+TEST_CASE("An echo of this daemon's earlier incarnation gives no local time", "[proxy]") {
   PeerTable table("a", 2);
   table.Add(kOther);
   PeerMessage out;
@@ -78,18 +79,18 @@
   CHECK_FALSE(table.Receive(kOther, in, kStart));
 }
 
-TEST_CASE("Old messages and those of an earlier life are dropped", "[proxy]") {
+TEST_CASE("Old messages and those of an earlier incarnation are dropped", "[proxy]") {
   PeerTable table("a", 1);
   table.Receive(kOther, From("b", 9, 5), kStart);
   table.Receive(kOther, From("b", 9, 4), kStart);
   table.Receive(kOther, From("b", 8, 99), kStart);
   CHECK(table.All().at(kOther).highest_sequence == 5);
-  // A life with a lower number is taken once the other has been silent.
+  // An incarnation with a lower number is accepted once the other has timed out.
   table.Receive(kOther, From("b", 8, 1), kStart + kPeerTimeout);
   CHECK(table.All().at(kOther).incarnation == 8);
 }
 
-TEST_CASE("A peer that stops or is silent does not count as live", "[proxy]") {
+TEST_CASE("A peer that stops or has timed out does not count as live", "[proxy]") {
   PeerTable table("a", 1);
   table.Receive(kOther, From("b", 9, 1), kStart);
   CHECK(table.LiveNames(kStart) == std::vector<std::string>{"b"});
@@ -100,7 +101,7 @@
   CHECK(table.LiveNames(kStart).empty());
 }
 
-TEST_CASE("A peer that sends rarely is given time accordingly", "[proxy]") {
+TEST_CASE("A peer with a longer interval has a longer timeout", "[proxy]") {
   PeerTable table("a", 1);
   PeerMessage message = From("b", 9, 1);
   message.interval = Duration(2'000'000);
@@ -111,7 +112,7 @@
         message.interval);
 }
 
-TEST_CASE("Whether a hub is informed passes the wire", "[proxy]") {
+TEST_CASE("Whether a hub is informed is encoded and decoded", "[proxy]") {
   for (const bool informed : {false, true}) {
     PeerMessage message = From("b", 9, 1);
     message.view.from_hub = true;
