--- a/src/proxy/backend.cc
+++ b/src/proxy/backend.cc
@@ -99,7 +99,7 @@
       std::count_if(connections_.begin(), connections_.end(), [](const auto& entry) {
         const Connection& connection = entry.second;
         const bool control = !connection.outstanding.empty() &&
-                             connection.outstanding.front().purpose == Purpose::kControl;
+                             connection.outstanding.front().purpose == RequestPurpose::kControl;
         return !connection.outstanding.empty() && (connection.session || control);
       }));
 }
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -26,7 +26,7 @@
 using SessionValues = std::map<std::string, std::string>;
 
 /// Purpose of an outstanding request.
-enum class Purpose : std::uint8_t {
+enum class RequestPurpose : std::uint8_t {
   kStatement,    // a caller's command
   kPreparation,  // sets the connection to the session's state
   kControl,      // a control request
@@ -37,7 +37,7 @@
 using ControlNumber = std::uint64_t;
 
 struct OutstandingRequest {
-  Purpose purpose = Purpose::kStatement;
+  RequestPurpose purpose = RequestPurpose::kStatement;
   common::Instant sent{0};
   ControlNumber control = 0;
 };
@@ -158,7 +158,7 @@
   std::optional<common::Instant> unlisted_since;  // the store no longer lists its entry
   std::optional<common::Instant> draining_since;  // its entry announces that it will stop
   std::optional<model::InstanceStatus> status;    // last received
-  common::Instant status_at{0};                   // time at which `status` was received
+  common::Instant status_received_at{0};          // time at which `status` was received
   bool address_taken = false;                     // another instance answers at its address
   warm_up::instance_life restart_detection;
 
@@ -180,7 +180,7 @@
   common::Duration LagEstimate(common::Instant now) const;
 
   common::Duration refused_requirement_age_{0};  // highest age of recently refused requirements
-  common::Instant requirement_refused_at_{0};    // time at which `status` was received
+  common::Instant requirement_refused_at_{0};    // time of that refusal
   common::Instant lagging_until_{0};             // pause after a missed staleness bound
   common::Duration lagging_pause_{0};
 };
--- a/src/proxy/backend_set.cc
+++ b/src/proxy/backend_set.cc
@@ -102,12 +102,12 @@
                              common::Instant sent, common::Instant now) {
   // A log grows within a term, and terms do not fall. A lower status than before shows that the
   // instance has lost its log, even before its entry shows the restart.
-  const bool later = backend.status && sent >= backend.status_at;
+  const bool later = backend.status && sent >= backend.status_received_at;
   const bool lost =
       later && (status.term < backend.status->term || (status.term == backend.status->term &&
                                                        status.received < backend.status->received));
   backend.status = status;
-  backend.status_at = now;
+  backend.status_received_at = now;
   if (!lost) {
     return;
   }
@@ -214,7 +214,7 @@
 }
 
 void BackendSet::Send(Backend& backend, Connection& connection,
-                      std::vector<model::InstanceRequest> requests, Purpose purpose,
+                      std::vector<model::InstanceRequest> requests, RequestPurpose purpose,
                       common::Instant now) {
   static_cast<void>(backend);
   for (std::size_t i = 0; i < requests.size(); ++i) {
@@ -249,7 +249,7 @@
     }
     const QueuedControlRequest item = backend.control_queue.front();
     backend.control_queue.pop_front();
-    connection->outstanding.push_back({Purpose::kControl, now, item.number});
+    connection->outstanding.push_back({RequestPurpose::kControl, now, item.number});
     outbox_.Emit(SendRequests{connection->number, {item.request}});
   }
 }
@@ -273,7 +273,7 @@
     model::Command rollback;
     rollback.kind = model::CommandKind::kRollback;
     Send(backend, connection, {model::SessionRequest{"", rollback, std::nullopt}},
-         Purpose::kCleanup, now);
+         RequestPurpose::kCleanup, now);
     return;
   }
   SendQueuedControls(backend, now);
@@ -288,7 +288,7 @@
   backend_ids_by_connection_.erase(number);
   std::vector<ControlNumber> unanswered;
   for (const OutstandingRequest& outstanding : connection->outstanding) {
-    if (outstanding.purpose == Purpose::kControl) {
+    if (outstanding.purpose == RequestPurpose::kControl) {
       unanswered.push_back(outstanding.control);
     }
   }
@@ -402,7 +402,7 @@
   if (not_restarted && warm_up_observer_ != nullptr) {
     warm_up_observer_->same_life(backend->Entry());
   }
-  if (outstanding.purpose == Purpose::kControl) {
+  if (outstanding.purpose == RequestPurpose::kControl) {
     if (reply.status) {
       ApplyStatus(*backend, *reply.status, outstanding.sent, now);
     }
@@ -435,7 +435,7 @@
   backend->restart_detection.note_break(now);
   DropLostConnection(*backend, number, now);
   // Reconnects at once to check whether the instance still listens.
-  if (backend->Connections().empty() && Watched(backend->Entry().service)) {
+  if (backend->Connections().empty() && IsWatched(backend->Entry().service)) {
     Open(*backend, now);
   }
 }
@@ -446,7 +446,7 @@
   backend_ids_by_connection_.erase(number);
   backend.Remove(number);
   for (const OutstandingRequest& outstanding : lost.outstanding) {
-    if (outstanding.purpose == Purpose::kControl) {
+    if (outstanding.purpose == RequestPurpose::kControl) {
       FinishControl(outstanding.control, std::nullopt, now);
     }
   }
@@ -492,7 +492,7 @@
         },
         now);
   }
-  const bool watched = Watched(backend.Entry().service);
+  const bool watched = IsWatched(backend.Entry().service);
   const bool needs_connection = backend.Unreachable() || backend.Connections().empty();
   if (watched && needs_connection && backend.OpeningCount() == 0) {
     Open(backend, now, kExtraControlConnections);
@@ -502,7 +502,7 @@
 void BackendSet::TrimConnections(Backend& backend, common::Instant now) {
   std::vector<ConnectionNumber> closing;
   const std::size_t limit = ConnectionLimit(backend.Entry().service);
-  const bool watched = Watched(backend.Entry().service);
+  const bool watched = IsWatched(backend.Entry().service);
   std::size_t total = backend.Connections().size();
   std::vector<ConnectionNumber> timed_out;
   for (auto& [number, connection] : backend.Connections()) {
--- a/src/proxy/backend_set.h
+++ b/src/proxy/backend_set.h
@@ -91,7 +91,7 @@
   std::uint64_t WatchChanges() const { return watch_changes_; }
 
   /// @return true if this daemon monitors the service's instances.
-  bool Watched(const std::string& service) const { return watched_.contains(service); }
+  bool IsWatched(const std::string& service) const { return watched_.contains(service); }
   /// @return the limit of connections to each instance of the service; 0 until it is set.
   std::size_t ConnectionLimit(const std::string& service) const;
 
@@ -115,7 +115,7 @@
 
   /// Sends requests of one purpose over a connection.
   void Send(Backend& backend, Connection& connection, std::vector<model::InstanceRequest> requests,
-            Purpose purpose, common::Instant now);
+            RequestPurpose purpose, common::Instant now);
 
   /// Sends a control request as soon as a connection is free.
   void QueueControlRequest(const std::string& instance, const model::ControlRequest& request,
--- a/src/proxy/catalog_state.cc
+++ b/src/proxy/catalog_state.cc
@@ -83,8 +83,8 @@
 void CatalogState::SetInterest(const Interest& interest) {
   using metadata::FollowPace;
   const common::Duration coordinator_wait =
-      interest.reader ? settings_.coordinator_watch_wait : settings_.relaxed_watch_wait;
-  const FollowPace close{interest.everything ? settings_.watch_wait : coordinator_wait};
+      interest.reads_record ? settings_.coordinator_watch_wait : settings_.relaxed_watch_wait;
+  const FollowPace close{interest.all_collections ? settings_.watch_wait : coordinator_wait};
   const FollowPace slow{settings_.slow_watch_wait};
   const FollowPace rare{settings_.relaxed_watch_wait};
   const FollowPace batched{settings_.relaxed_watch_wait, settings_.relaxed_pause};
@@ -94,8 +94,8 @@
                                     true, true};
   const FollowPace daemons_on_update{settings_.notified_watch_wait, settings_.relaxed_pause, true,
                                      true};
-  const bool closely = interest.everything || interest.leadership;
-  if (!interest.reader) {
+  const bool closely = interest.all_collections || interest.leadership;
+  if (!interest.reads_record) {
     ResetFailedProbes();
   }
   const FollowPace& distant = interest.receives_updates ? rarely_on_update : rare;
@@ -106,7 +106,7 @@
   followers_.at(Collection::kConfiguration).SetPace(closely ? close : distant);
   followers_.at(Collection::kInstances).SetPace(closely ? close : of_instances);
   const FollowPace& of_daemons = interest.leadership ? batched : daemons_on_update;
-  followers_.at(Collection::kDaemons).SetPace(interest.everything ? slow : of_daemons);
+  followers_.at(Collection::kDaemons).SetPace(interest.all_collections ? slow : of_daemons);
   followers_.at(Collection::kLeadership)
       .SetPace({settings_.slow_watch_wait, common::Duration(0), closely});
 }
@@ -377,7 +377,7 @@
   }
   if (const auto* configuration = std::get_if<model::Configuration>(&object.payload)) {
     update.configuration =
-        ApplyConfiguration(*configuration, "store", object.revision) || update.configuration;
+        AdoptConfiguration(*configuration, "store", object.revision) || update.configuration;
   } else if (const auto* instance = std::get_if<model::InstanceEntry>(&object.payload)) {
     ApplyInstance(*instance, now, update);
   } else if (const auto* unusable = std::get_if<model::UnusableEntry>(&object.payload)) {
@@ -442,7 +442,7 @@
   }
 }
 
-bool CatalogState::ApplyConfiguration(const model::Configuration& configuration, const char* source,
+bool CatalogState::AdoptConfiguration(const model::Configuration& configuration, const char* source,
                                       const model::Revision& revision) {
   if (configuration.version <= configuration_.version) {
     return false;
@@ -462,13 +462,13 @@
   ApplyEra(revision.era, "store", now);
   object_revisions_.configuration = std::max(object_revisions_.configuration, revision);
   CatalogUpdate update;
-  update.configuration = ApplyConfiguration(configuration, "read", revision);
+  update.configuration = AdoptConfiguration(configuration, "read", revision);
   return update;
 }
 
 CatalogUpdate CatalogState::ApplyCopy(const CatalogCopy& copy) {
   CatalogUpdate update;
-  update.configuration = ApplyConfiguration(copy.configuration, "daemon", 0);
+  update.configuration = AdoptConfiguration(copy.configuration, "daemon", 0);
   // The store's own list takes precedence: a copy only adds instances before the first list.
   if (!followers_.at(Collection::kInstances).Listed()) {
     for (const model::InstanceEntry& instance : copy.instances) {
--- a/src/proxy/catalog_state.h
+++ b/src/proxy/catalog_state.h
@@ -47,9 +47,9 @@
 
   /// What this daemon needs from the store.
   struct Interest {
-    bool everything = true;  // all collections, without delay
-    bool leadership = true;  // the leadership record
-    bool reader =
+    bool all_collections = true;  // all collections, without delay
+    bool leadership = true;       // the leadership record
+    bool reads_record =
         false;  // reads the record for all daemons; its reads detect an unresponsive store
     bool instances = true;  // connects to instances, so it must see each removal; others that
                             // receive updates read none
@@ -173,7 +173,7 @@
   void DropInstance(const std::string& id, CatalogUpdate& update);
   void RecordUnusable(const std::string& reason, const std::string& name);
   /// @param revision of the store, 0 if the configuration comes from another daemon.
-  bool ApplyConfiguration(const model::Configuration& configuration, const char* source,
+  bool AdoptConfiguration(const model::Configuration& configuration, const char* source,
                           const model::Revision& revision);
   void UpdateConnected();
   void RecordAnswerRevision(model::Collection collection, const metadata::ReadResult& result);
--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -151,7 +151,8 @@
                        common::Instant now);
   /// Sends callers' work, and tells the access rules.
   void SendWork(Backend& backend, Connection& connection,
-                std::vector<model::InstanceRequest> requests, Purpose purpose, common::Instant now);
+                std::vector<model::InstanceRequest> requests, RequestPurpose purpose,
+                common::Instant now);
 
   // Commands.
   void Begin(Session& session, const CallerCommand& command, common::Instant now);
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -126,10 +126,10 @@
 }
 
 void Dispatcher::SendWork(Backend& backend, Connection& connection,
-                          std::vector<model::InstanceRequest> requests, Purpose purpose,
+                          std::vector<model::InstanceRequest> requests, RequestPurpose purpose,
                           common::Instant now) {
   // A statement that follows its preparation is counted with it: nothing is asked in between.
-  const std::size_t following = purpose == Purpose::kPreparation ? 1 : 0;
+  const std::size_t following = purpose == RequestPurpose::kPreparation ? 1 : 0;
   access_.note_sent(backend.Entry(), requests.size() + following, now);
   backends_.Send(backend, connection, std::move(requests), purpose, now);
 }
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -277,7 +277,7 @@
   }
   operation.phase = OperationPhase::kPreparing;
   operation.preparations = requests.size();
-  SendWork(backend, connection, std::move(requests), Purpose::kPreparation, now);
+  SendWork(backend, connection, std::move(requests), RequestPurpose::kPreparation, now);
 }
 
 void Dispatcher::SendStatement(Session& session, Backend& backend, Connection& connection,
@@ -292,9 +292,9 @@
     request.command.name = connection.prepared.at(session.prepared.at(request.command.name));
   }
   if (counted) {
-    backends_.Send(backend, connection, {std::move(request)}, Purpose::kStatement, now);
+    backends_.Send(backend, connection, {std::move(request)}, RequestPurpose::kStatement, now);
   } else {
-    SendWork(backend, connection, {std::move(request)}, Purpose::kStatement, now);
+    SendWork(backend, connection, {std::move(request)}, RequestPurpose::kStatement, now);
   }
 }
 
@@ -312,7 +312,7 @@
     groups_.RecordPosition(backend.Entry().service, backend.Entry().id, *reply.position,
                            outstanding.sent);
   }
-  if (outstanding.purpose == Purpose::kPreparation) {
+  if (outstanding.purpose == RequestPurpose::kPreparation) {
     AnswerToPreparation(*session, backend, connection, reply, now);
   } else {
     AnswerToStatement(*session, backend, connection, reply, now);
--- a/src/proxy/failover_driver.cc
+++ b/src/proxy/failover_driver.cc
@@ -121,7 +121,7 @@
   std::size_t suspecting = group.primary_suspected ? 1 : 0;
   for (const auto& [address, peer] : peers_.All()) {
     const bool watches = roles_.watches(group.service, peer.name);
-    if (!watches || !peers_.Alive(peer, now) || peer.last.stopping) {
+    if (!watches || !peers_.IsAlive(peer, now) || peer.last.stopping) {
       continue;
     }
     ++live;
@@ -178,7 +178,7 @@
   }
   std::vector<std::string> eligible = {settings_.name};
   for (const std::string& name : peers_.LiveNames(now)) {
-    const Peer* peer = peers_.ByName(name);
+    const Peer* peer = peers_.FindByName(name);
     if (peer != nullptr && peer->last.store_connected && roles_.coordinates(name)) {
       eligible.push_back(name);
     }
@@ -238,8 +238,8 @@
   }
   daemons.erase(settings_.name);
   std::erase_if(daemons, [&](const std::string& name) {
-    const Peer* peer = peers_.ByName(name);
-    if (peer == nullptr || !peers_.Alive(*peer, now)) {
+    const Peer* peer = peers_.FindByName(name);
+    if (peer == nullptr || !peers_.IsAlive(*peer, now)) {
       return false;
     }
     const std::vector<GroupReport>& groups = peer->last.groups;
@@ -255,7 +255,7 @@
   std::size_t most = 0;
   for (const auto& [address, peer] : peers_.All()) {
     // A daemon that does not connect to the instances does not detect terminations.
-    if (!peers_.Alive(peer, now) || !roles_.watches(service, peer.name)) {
+    if (!peers_.IsAlive(peer, now) || !roles_.watches(service, peer.name)) {
       continue;
     }
     for (const GroupReport& report : peer.last.groups) {
--- a/src/proxy/group_set.cc
+++ b/src/proxy/group_set.cc
@@ -493,7 +493,7 @@
 }
 
 void GroupSet::UpdateWatched(GroupState& state, common::Instant now) {
-  const bool watched = backends_.Watched(state.service);
+  const bool watched = backends_.IsWatched(state.service);
   if (watched == std::exchange(state.watched, watched)) {
     return;
   }
--- a/src/proxy/group_set.h
+++ b/src/proxy/group_set.h
@@ -92,7 +92,8 @@
   std::vector<std::string> QuorumMembers(const std::string& service, common::Instant now) const;
 
   /// @return ids of the group's replicas that may hold the only copy of a commit: all but those
-  /// whose termination `minimum_position` covers.
+  /// that have been unlisted and unreachable for a while and whose termination `minimum_position`
+  /// covers.
   std::vector<std::string> Replicas(const std::string& service, common::Instant now) const;
 
   /// @return the id of the known primary; before one is known, that of the instance whose entry
--- a/src/proxy/peer_table.cc
+++ b/src/proxy/peer_table.cc
@@ -59,7 +59,7 @@
   // A later incarnation may have a lower number if the system clock was set back in between.
   const bool different = message.incarnation != peer.incarnation;
   const bool new_incarnation =
-      different && (message.incarnation > peer.incarnation || !Alive(peer, now));
+      different && (message.incarnation > peer.incarnation || !IsAlive(peer, now));
   const bool newer =
       message.incarnation == peer.incarnation && message.sequence > peer.highest_sequence;
   if (!new_incarnation && !newer) {
@@ -96,7 +96,7 @@
   return echoed->second;
 }
 
-bool PeerTable::Alive(const Peer& peer, common::Instant now) const {
+bool PeerTable::IsAlive(const Peer& peer, common::Instant now) const {
   return peer.last_received_at &&
          now <
              *peer.last_received_at + std::max(kPeerTimeout, kMissedIntervals * peer.last.interval);
@@ -106,13 +106,13 @@
                                      common::Instant now) const {
   const auto peer = peers_.find(address);
   return peer != peers_.end() && peer->second.incarnation == incarnation &&
-         Alive(peer->second, now);
+         IsAlive(peer->second, now);
 }
 
 std::vector<std::string> PeerTable::LiveNames(common::Instant now) const {
   std::vector<std::string> names;
   for (const auto& [address, peer] : peers_) {
-    if (Alive(peer, now) && !peer.last.stopping) {
+    if (IsAlive(peer, now) && !peer.last.stopping) {
       names.push_back(peer.name);
     }
   }
@@ -127,14 +127,14 @@
       }));
 }
 
-const Peer* PeerTable::ByName(const std::string& name) const {
+const Peer* PeerTable::FindByName(const std::string& name) const {
   const auto found = by_name_.find(name);
   return found == by_name_.end() ? nullptr : found->second;
 }
 
 bool PeerTable::AnyPrimarySuspected(common::Instant now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return entry.second.suspects_primary && Alive(entry.second, now);
+    return entry.second.suspects_primary && IsAlive(entry.second, now);
   });
 }
 
--- a/src/proxy/peer_table.h
+++ b/src/proxy/peer_table.h
@@ -64,7 +64,7 @@
   std::optional<common::Instant> Receive(const common::Endpoint& from, const PeerMessage& message,
                                          common::Instant now);
 
-  bool Alive(const Peer& peer, common::Instant now) const;
+  bool IsAlive(const Peer& peer, common::Instant now) const;
 
   /// @return true if the daemon at the address is alive and has this incarnation.
   bool AliveWithIncarnation(const common::Endpoint& address, std::uint64_t incarnation,
@@ -80,7 +80,7 @@
   const std::map<common::Endpoint, Peer>& All() const { return peers_; }
   /// @return the peer that last sent a message under the name, or one that is only known by
   /// address; nullptr if there is none.
-  const Peer* ByName(const std::string& name) const;
+  const Peer* FindByName(const std::string& name) const;
 
   /// @return true if some live peer suspects a primary.
   bool AnyPrimarySuspected(common::Instant now) const;
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -361,7 +361,7 @@
     if (peer.last_received_at) {
       heard.insert(peer.name);
     }
-    if (peers_.Alive(peer, now) && !peer.last.stopping) {
+    if (peers_.IsAlive(peer, now) && !peer.last.stopping) {
       members.push_back({peer.name, peer.last.zone, peer.last.store_connected, peer.last.capacity});
     }
   }
@@ -440,8 +440,8 @@
       const membership::member* member = view_.find(name);
       return member != nullptr && member->store_connected && name != settings_.name;
     }
-    const Peer* peer = peers_.ByName(name);
-    return peer != nullptr && peers_.Alive(*peer, now) && peer->last.store_connected;
+    const Peer* peer = peers_.FindByName(name);
+    return peer != nullptr && peers_.IsAlive(*peer, now) && peer->last.store_connected;
   });
 }
 
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -267,7 +267,7 @@
 }
 
 void Proxy::SendHeartbeat(Peer& peer, const PeerMessage& whole, common::Instant now) {
-  const bool alive = peers_.Alive(peer, now);
+  const bool alive = peers_.IsAlive(peer, now);
   PeerMessage message = WithoutGroups(whole);
   if (large_) {
     message.view = view_.message_for(peer.name, now);
@@ -331,7 +331,7 @@
   if (receivers == Receivers::kDue) {
     return false;
   }
-  return large_ || peers_.Alive(peer, now);
+  return large_ || peers_.IsAlive(peer, now);
 }
 
 void Proxy::SendHeartbeats(Receivers receivers, bool all_groups, common::Instant now) {
@@ -364,7 +364,7 @@
   for (Peer* peer : ReceiversOf(Receivers::kPartners)) {
     const common::Duration interval = large_ ? peer->send_interval : settings_.heartbeat_interval;
     const bool due_soon = now + interval / 2 >= peer->next_heartbeat;
-    if (due_soon && peers_.Alive(*peer, now)) {
+    if (due_soon && peers_.IsAlive(*peer, now)) {
       peer->next_heartbeat = now;
     }
   }
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -53,7 +53,7 @@
   heard.lately = large_ ? view_.live_within(kHeardLately, now)
                         : peers_.CountReceivedWithin(kHeardLately, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
-    if (peers_.Alive(peer, now)) {
+    if (peers_.IsAlive(peer, now)) {
       ++heard.direct;
       heard.direct_hearing += now < peer.last_echoed_sent_at + kConfirmedAge ? 1 : 0;
     }
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -195,7 +195,7 @@
 }
 
 bool SessionRelay::HeardLately(const std::string& daemon, common::Instant now) const {
-  const Peer* peer = peers_.ByName(daemon);
+  const Peer* peer = peers_.FindByName(daemon);
   if (peer == nullptr || !peer->last_received_at) {
     return false;
   }
@@ -214,14 +214,14 @@
   if (member != nullptr) {
     return !member->stopping;
   }
-  return HeardLately(daemon, now) && !peers_.ByName(daemon)->last.stopping;
+  return HeardLately(daemon, now) && !peers_.FindByName(daemon)->last.stopping;
 }
 
 void SessionRelay::open_link(relay::session_number session, const std::string& owner) {
   const std::uint64_t version = configuration_ == nullptr ? 0 : configuration_->version;
   const membership::member* member = view_.find(owner);
   const common::Endpoint& address =
-      member != nullptr ? member->address : peers_.ByName(owner)->address;
+      member != nullptr ? member->address : peers_.FindByName(owner)->address;
   outbox_.Emit(RelaySession{session, address, version});
 }
 
--- a/tests/proxy/backend_test.cc
+++ b/tests/proxy/backend_test.cc
@@ -32,7 +32,7 @@
   Connection& connection = backend.Add(number, "", kStart);
   connection.open = true;
   connection.session = number;
-  connection.outstanding.push_back({Purpose::kStatement, kStart, 0});
+  connection.outstanding.push_back({RequestPurpose::kStatement, kStart, 0});
 }
 
 }  // namespace
--- a/tests/proxy/peer_table_test.cc
+++ b/tests/proxy/peer_table_test.cc
@@ -106,8 +106,8 @@
   PeerMessage message = From("b", 9, 1);
   message.interval = Duration(2'000'000);
   table.Receive(kOther, message, kStart);
-  CHECK(table.Alive(table.All().at(kOther), kStart + Duration(5'900'000)));
-  CHECK_FALSE(table.Alive(table.All().at(kOther), kStart + Duration(6'100'000)));
+  CHECK(table.IsAlive(table.All().at(kOther), kStart + Duration(5'900'000)));
+  CHECK_FALSE(table.IsAlive(table.All().at(kOther), kStart + Duration(6'100'000)));
   CHECK(common::ValueOf(DecodePeerMessage(EncodePeerMessage(message))).interval ==
         message.interval);
 }
