--- a/src/proxy/failover_driver.h
+++ b/src/proxy/failover_driver.h
@@ -107,6 +107,7 @@
   void Execute(GroupState& group, const failover::AttemptNote& action, common::Instant now);
   /// Logs which replicas a replacement waits for.
   void LogInfeasible(const failover::GroupView& view, const std::string& reason);
+  /// Removes the entry of a replacement that did not take place from the leadership record.
   void DropStaleEntry(GroupState& group, common::Instant now);
   void AdvanceAttempt(const std::string& service, const model::Configuration& configuration,
                       const RegisteredDaemons& registered, common::Instant now);
