--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -72,7 +72,7 @@
   /// Removes a session that has ended, and ends its open transaction.
   void SessionClosed(SessionNumber number, common::Instant now);
 
-  void OnAnswer(Backend& backend, Connection& connection, const Outstanding& outstanding,
+  void OnAnswer(Backend& backend, Connection& connection, const OutstandingRequest& outstanding,
                 const model::Reply& reply, common::Instant now) override;
   void OnLost(Backend& backend, Connection& connection, common::Instant now) override;
   void OnCapacity(common::Instant now) override;
@@ -166,7 +166,7 @@
                                 Connection& connection, common::Instant now);
   /// Sends requests of a caller and reports their number to the access rules.
   void SendAndCountRequests(Backend& backend, Connection& connection,
-                            std::vector<model::InstanceRequest> requests, Purpose purpose,
+                            std::vector<model::InstanceRequest> requests, RequestPurpose purpose,
                             common::Instant now);
 
   // Commands.
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -46,7 +46,7 @@
   std::optional<access::answer> soonest;
   for (const std::string& id : groups_.Members(service)) {
     const Backend& backend = *backends_.Find(id);
-    if (backend.gone_since) {
+    if (backend.unlisted_since) {
       continue;
     }
     const access::answer answer = access_.judge(backend.Entry(), work, now);
@@ -131,11 +131,11 @@
 }
 
 void Dispatcher::SendAndCountRequests(Backend& backend, Connection& connection,
-                                      std::vector<model::InstanceRequest> requests, Purpose purpose,
-                                      common::Instant now) {
+                                      std::vector<model::InstanceRequest> requests,
+                                      RequestPurpose purpose, common::Instant now) {
   // A statement is counted with its preparation: after that, only a closed instance keeps it from
   // being sent.
-  const std::size_t following = purpose == Purpose::kPreparation ? 1 : 0;
+  const std::size_t following = purpose == RequestPurpose::kPreparation ? 1 : 0;
   access_.note_sent(backend.Entry(), requests.size() + following, now);
   backends_.Send(backend, connection, std::move(requests), purpose, now);
 }
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -72,7 +72,7 @@
     Placement at_primary;
     at_primary.instance = primary;
     if (session.transaction.open || !IsWrite(session)) {
-      at_primary.required = groups_.Get(service, now).KnownOfPrimary();
+      at_primary.required = groups_.Get(service, now).PrimaryPosition();
     }
     return {at_primary};
   }
@@ -162,7 +162,7 @@
   const common::Duration longest_wait = operation.queue_deadline - operation.arrived;
   if (now >= operation.arrived + longest_wait * kCrowdedOutNumerator / kCrowdedOutDenominator) {
     for (const Placement& placement : placements) {
-      backends_.Find(placement.instance)->NoteCrowdedOut(UrgencyOf(operation.route), now);
+      backends_.Find(placement.instance)->OnStarved(UrgencyOf(operation.route), now);
     }
   }
   return false;
@@ -170,8 +170,8 @@
 
 bool Dispatcher::AcceptsStatement(const Backend& backend, const Operation& operation,
                                   common::Instant now) const {
-  return backend.HasRoom() && now >= backend.AvoidUntil() &&
-         !backend.LeftToImpatient(UrgencyOf(operation.route), now);
+  return backend.HasCapacity() && now >= backend.AvoidUntil() &&
+         !backend.ReservedForMoreUrgent(UrgencyOf(operation.route), now);
 }
 
 bool Dispatcher::IsConnectionOpening(const Operation& operation, common::Instant now) {
@@ -283,7 +283,7 @@
   }
   operation.phase = OperationPhase::kPreparing;
   operation.unanswered_preparations = requests.size();
-  SendAndCountRequests(backend, connection, std::move(requests), Purpose::kPreparation, now);
+  SendAndCountRequests(backend, connection, std::move(requests), RequestPurpose::kPreparation, now);
 }
 
 void Dispatcher::SendStatement(Session& session, Backend& backend, Connection& connection,
@@ -298,14 +298,16 @@
     request.command.name = connection.prepared.at(session.prepared.at(request.command.name));
   }
   if (counted) {
-    backends_.Send(backend, connection, {std::move(request)}, Purpose::kStatement, now);
+    backends_.Send(backend, connection, {std::move(request)}, RequestPurpose::kStatement, now);
   } else {
-    SendAndCountRequests(backend, connection, {std::move(request)}, Purpose::kStatement, now);
+    SendAndCountRequests(backend, connection, {std::move(request)}, RequestPurpose::kStatement,
+                         now);
   }
 }
 
-void Dispatcher::OnAnswer(Backend& backend, Connection& connection, const Outstanding& outstanding,
-                          const model::Reply& reply, common::Instant now) {
+void Dispatcher::OnAnswer(Backend& backend, Connection& connection,
+                          const OutstandingRequest& outstanding, const model::Reply& reply,
+                          common::Instant now) {
   Session* session = FindSession(*connection.session);
   const bool expected = session != nullptr && session->operation &&
                         session->operation->connection == connection.number;
@@ -314,10 +316,10 @@
     return;
   }
   if (reply.position) {
-    groups_.NotePosition(backend.Entry().service, backend.Entry().id, *reply.position,
-                         outstanding.sent);
+    groups_.RecordPosition(backend.Entry().service, backend.Entry().id, *reply.position,
+                           outstanding.sent);
   }
-  if (outstanding.purpose == Purpose::kPreparation) {
+  if (outstanding.purpose == RequestPurpose::kPreparation) {
     OnPreparationAnswer(*session, backend, connection, reply, now);
   } else {
     OnStatementAnswer(*session, backend, connection, reply, now);
@@ -378,13 +380,13 @@
 void Dispatcher::OnStatementSucceeded(Session& session, Backend& backend, Connection& connection,
                                       const model::Reply& reply, common::Instant now) {
   Operation& operation = *session.operation;
-  backend.NoteSuccess(now - operation.sent);
+  backend.RecordLatency(now - operation.sent);
   if (operation.required_position) {
-    backend.NoteFresh(operation.required_position_age, now);
+    backend.OnFreshRead(operation.required_position_age, now);
   }
   const bool commits = MayHaveCommitted(session);
   if (commits) {
-    groups_.NoteWriteAnswered(operation.route.service, operation.instance);
+    groups_.OnWriteAnswered(operation.route.service, operation.instance);
   }
   if (commits && reply.position) {
     session.own_commit = *reply.position;
@@ -413,13 +415,13 @@
   const std::string& instance = backend.Entry().id;
   const model::ErrorCode code = reply.error;
   if (code == model::ErrorCode::kLagging) {
-    backend.NoteLagging(operation.required_position_age, !operation.required_is_own_commit, now);
+    backend.OnLaggingRead(operation.required_position_age, !operation.required_is_own_commit, now);
   }
   if (code == model::ErrorCode::kBusy) {
-    backend.NoteBusy(now);
+    backend.OnBusy(now);
   }
   if (code == model::ErrorCode::kReadOnly) {
-    groups_.Get(operation.route.service, now).round_at = common::Instant(0);
+    groups_.Get(operation.route.service, now).last_round_at = common::Instant(0);
   }
   const bool nothing_has_run = !session.transaction.open || !session.transaction.has_run_statement;
   if (nothing_has_run && model::GuaranteesNoEffect(code) && operation.attempts < kMaxAttempts) {
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -132,7 +132,7 @@
 void Dispatcher::RecordUnansweredWrites(common::Instant now) {
   // Few of 1,000 groups have a write in flight: only those of the previous call need a reset.
   for (const std::string& service : std::exchange(services_with_unanswered_write_, {})) {
-    groups_.Get(service, now).write_sent.reset();
+    groups_.Get(service, now).oldest_unanswered_write.reset();
   }
   for (const auto& [number, session] : sessions_) {
     if (!session.operation || !MayHaveCommitted(session)) {
@@ -141,9 +141,10 @@
     const Operation& operation = *session.operation;
     GroupState& group = groups_.Get(operation.route.service, now);
     const bool at_primary = operation.instance == group.lease.Newest().primary;
-    if (at_primary && (!group.write_sent || operation.sent < *group.write_sent)) {
+    if (at_primary &&
+        (!group.oldest_unanswered_write || operation.sent < *group.oldest_unanswered_write)) {
       services_with_unanswered_write_.insert(operation.route.service);
-      group.write_sent = operation.sent;
+      group.oldest_unanswered_write = operation.sent;
     }
   }
 }
--- a/tests/proxy/dispatcher_access_test.cc
+++ b/tests/proxy/dispatcher_access_test.cc
@@ -83,7 +83,7 @@
     }
     for (const OpenConnection& opened : ConsumeActions<OpenConnection>()) {
       connections[opened.instance] = opened.connection;
-      backends.Opened(opened.connection, kStart);
+      backends.OnOpened(opened.connection, kStart);
     }
     outbox.Take();
   }
@@ -210,8 +210,8 @@
   reply.state = model::TransactionState::kOpen;
   const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
   REQUIRE(connection == fixture.connections["p"]);
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
@@ -234,13 +234,13 @@
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
   const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.SendCommand(model::CommandKind::kRead);
   model::Reply failure;
   failure.error = model::ErrorCode::kFailed;
   failure.state = model::TransactionState::kFailed;
-  fixture.backends.Answered(connection, failure, kStart);
+  fixture.backends.OnAnswered(connection, failure, kStart);
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
@@ -259,14 +259,14 @@
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
   const ConnectionNumber connection = fixture.ConnectionOfOnlyRequest();
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.SendCommand(model::CommandKind::kRead);
   fixture.outbox.Take();
   fixture.rule.verdicts["p"] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const common::Instant late = kStart + 700 * kMillisecond;
-  fixture.backends.Answered(connection, reply, late);
+  fixture.backends.OnAnswered(connection, reply, late);
   fixture.dispatcher.Tick(late + kMillisecond);
   const std::vector<Action> actions = fixture.outbox.Take();
   const auto is = [&](auto* kind) {
@@ -292,14 +292,14 @@
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN; the READ goes out
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN; the READ goes out
   fixture.outbox.Take();
   fixture.rule.verdicts[instance] = access::verdict::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   model::Reply refusal;
   refusal.error = model::ErrorCode::kBusy;
   refusal.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, refusal, kStart + 90 * kMillisecond);
+  fixture.backends.OnAnswered(connection, refusal, kStart + 90 * kMillisecond);
   fixture.dispatcher.Tick(kStart + 100 * kMillisecond);
   for (const SendRequests& sent : fixture.ConsumeActions<SendRequests>()) {
     CHECK(sent.connection != connection);
@@ -321,7 +321,7 @@
   model::Reply reply;
   reply.succeeded = true;
   for (std::size_t answer = 0; answer < prepared.front().requests.size(); ++answer) {
-    fixture.backends.Answered(first, reply, kStart + kMillisecond);
+    fixture.backends.OnAnswered(first, reply, kStart + kMillisecond);
   }
   fixture.dispatcher.Tick(kStart + 10 * kMillisecond);
   for (const SendRequests& sent : fixture.ConsumeActions<SendRequests>()) {
@@ -340,7 +340,7 @@
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, reply, kStart);
+  fixture.backends.OnAnswered(connection, reply, kStart);
   CHECK(fixture.ConnectionOfOnlyRequest() == connection);
   CHECK(fixture.rule.sent_requests["p"] == 2);
 }
@@ -403,14 +403,14 @@
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.rule.verdicts["p"] = access::verdict::later;
   fixture.rule.retry_after = kMillisecond;
   fixture.SendCommand(model::CommandKind::kCommit);
   fixture.outbox.Take();
   fixture.rule.verdicts.clear();
-  fixture.backends.Closed(connection, kStart + kMillisecond);
+  fixture.backends.OnClosed(connection, kStart + kMillisecond);
   fixture.dispatcher.Tick(kStart + 2 * kMillisecond);
   std::size_t sent = 0;
   std::optional<model::Reply> answer;
--- a/tests/proxy/dispatcher_tenants_test.cc
+++ b/tests/proxy/dispatcher_tenants_test.cc
@@ -148,12 +148,12 @@
   fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
   const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
-  fixture.backends.Opened(opened.front().connection, kStart);
+  fixture.backends.OnOpened(opened.front().connection, kStart);
   model::Reply reply;
   reply.succeeded = true;
   reply.state = model::TransactionState::kOpen;
-  fixture.backends.Answered(opened.front().connection, reply, kStart);  // BEGIN
-  fixture.backends.Answered(opened.front().connection, reply, kStart);  // READ
+  fixture.backends.OnAnswered(opened.front().connection, reply, kStart);  // BEGIN
+  fixture.backends.OnAnswered(opened.front().connection, reply, kStart);  // READ
   fixture.configuration.version = 2;
   fixture.configuration.tenants.erase("north");
   fixture.Configure(kStart);
@@ -190,7 +190,7 @@
   const auto of_south = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(of_south.size() == 1);
   CHECK(of_south.front().tenant == "south");
-  fixture.backends.Opened(of_south.front().connection, kStart);
+  fixture.backends.OnOpened(of_south.front().connection, kStart);
   const auto sent = fixture.ConsumeActions<SendRequests>();
   REQUIRE(sent.size() == 1);
   CHECK(sent.front().connection == of_south.front().connection);
@@ -205,13 +205,13 @@
   fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart);
   const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
-  fixture.backends.Opened(opened.front().connection, kStart);
+  fixture.backends.OnOpened(opened.front().connection, kStart);
   // A busy connection is not replaced.
   fixture.SendCommand(kSouthSession, model::CommandKind::kRead, kStart);
   CHECK(fixture.ConsumeActions<OpenConnection>().empty());
   model::Reply reply;
   reply.succeeded = true;
-  fixture.backends.Answered(opened.front().connection, reply, kStart);
+  fixture.backends.OnAnswered(opened.front().connection, reply, kStart);
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const std::vector<Action> actions = fixture.outbox.Take();
   std::size_t closed = 0;
@@ -260,7 +260,7 @@
   fixture.configuration.version = 2;
   fixture.configuration.tenants.erase("north");
   fixture.Configure(kStart);
-  fixture.backends.Opened(opened.front().connection, kStart);
+  fixture.backends.OnOpened(opened.front().connection, kStart);
   CHECK(fixture.ConsumeActions<SendRequests>().empty());
   fixture.dispatcher.Tick(kStart + kMillisecond);
   CHECK(fixture.ErrorOfOnlyAnswer() == model::ErrorCode::kDenied);
@@ -275,12 +275,12 @@
   const auto opened = fixture.ConsumeActions<OpenConnection>();
   REQUIRE(opened.size() == 1);
   const ConnectionNumber number = opened.front().connection;
-  fixture.backends.Opened(number, kStart);
+  fixture.backends.OnOpened(number, kStart);
   model::Reply lagging;
   lagging.error = model::ErrorCode::kLagging;
   int answered = 0;
   for (; answered < kMostAnswers && fixture.ConsumeActions<AnswerCaller>().empty(); ++answered) {
-    fixture.backends.Answered(number, lagging, kStart);
+    fixture.backends.OnAnswered(number, lagging, kStart);
   }
   REQUIRE(answered < kMostAnswers);
   const Connection* connection = fixture.backends.FindConnection(number);
--- a/tests/proxy/dispatcher_waiting_test.cc
+++ b/tests/proxy/dispatcher_waiting_test.cc
@@ -80,7 +80,7 @@
     reply.succeeded = true;
     const ConnectionNumber connection = *running.begin();
     running.erase(running.begin());
-    backends.Answered(connection, reply, now);
+    backends.OnAnswered(connection, reply, now);
     ProcessActions();
   }
 
@@ -123,7 +123,7 @@
       }
     }
     for (const ConnectionNumber connection : std::exchange(opening, {})) {
-      backends.Opened(connection, now);
+      backends.OnOpened(connection, now);
       ProcessActions();
     }
   }
--- a/tests/proxy/peer_table_test.cc
+++ b/tests/proxy/peer_table_test.cc
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-TEST_CASE("A message is the same after encoding, and garbage is refused", "[proxy]") {
+TEST_CASE("A message is the same after encoding and decoding, and truncated bytes are rejected",
+          "[proxy]") {
   PeerMessage message = From("b", 5, 6);
   message.zone = "z";
   message.echoed = 3;
@@ -33,8 +34,8 @@
   group.term = 2;
   group.primary = "i-1";
   group.confirmation_age = Duration(1234);
-  group.floor = {1, 40};
-  group.replicas = 2;
+  group.minimum_position = {1, 40};
+  group.replica_count = 2;
   group.released_below = 3;
   message.groups.push_back(group);
   const std::string bytes = EncodePeerMessage(message);
@@ -47,18 +48,18 @@
   REQUIRE(read.groups.size() == 1);
   CHECK(read.groups[0].confirmation_age == Duration(1234));
   CHECK_FALSE(read.groups[0].sample_age);
-  CHECK(read.groups[0].floor == common::Position{1, 40});
+  CHECK(read.groups[0].minimum_position == common::Position{1, 40});
   CHECK(read.groups[0].released_below == 3);
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     CHECK_FALSE(common::IsOk(DecodePeerMessage(bytes.substr(0, size))));
   }
 }
 
-TEST_CASE("Ages of a peer count from our own message that it had seen", "[proxy]") {
+TEST_CASE("Ages of a peer count from the own message that it had received", "[proxy]") {
   PeerTable table("a", 1);
   table.Add(kOther);
   PeerMessage out;
-  table.Stamp(table.All().at(kOther), out, kStart);
+  table.FillHeader(table.All().at(kOther), out, kStart);
   PeerMessage in = From("b", 9, 1);
   in.echoed = out.sequence;
   in.echoed_incarnation = 1;
@@ -67,51 +68,51 @@
   CHECK(*counted == kStart);
 }
 
-TEST_CASE("An echo of an earlier life of ours places nothing", "[proxy]") {
+TEST_CASE("An echo of this daemon's earlier incarnation gives no local time", "[proxy]") {
   PeerTable table("a", 2);
   table.Add(kOther);
   PeerMessage out;
-  table.Stamp(table.All().at(kOther), out, kStart);
+  table.FillHeader(table.All().at(kOther), out, kStart);
   PeerMessage in = From("b", 9, 1);
   in.echoed = out.sequence;
   in.echoed_incarnation = 1;
   CHECK_FALSE(table.Receive(kOther, in, kStart));
 }
 
-TEST_CASE("Old messages and those of an earlier life are dropped", "[proxy]") {
+TEST_CASE("Old messages and those of an earlier incarnation are dropped", "[proxy]") {
   PeerTable table("a", 1);
   table.Receive(kOther, From("b", 9, 5), kStart);
   table.Receive(kOther, From("b", 9, 4), kStart);
   table.Receive(kOther, From("b", 8, 99), kStart);
   CHECK(table.All().at(kOther).highest_sequence == 5);
-  // A life with a lower number is taken once the other has been silent.
-  table.Receive(kOther, From("b", 8, 1), kStart + kPeerSilence);
+  // An incarnation with a lower number is accepted once the other has timed out.
+  table.Receive(kOther, From("b", 8, 1), kStart + kPeerTimeout);
   CHECK(table.All().at(kOther).incarnation == 8);
 }
 
-TEST_CASE("A peer that stops or is silent does not count as live", "[proxy]") {
+TEST_CASE("A peer that stops or has timed out does not count as live", "[proxy]") {
   PeerTable table("a", 1);
   table.Receive(kOther, From("b", 9, 1), kStart);
   CHECK(table.LiveNames(kStart) == std::vector<std::string>{"b"});
-  CHECK(table.LiveNames(kStart + kPeerSilence).empty());
+  CHECK(table.LiveNames(kStart + kPeerTimeout).empty());
   PeerMessage stopping = From("b", 9, 2);
   stopping.stopping = true;
   table.Receive(kOther, stopping, kStart);
   CHECK(table.LiveNames(kStart).empty());
 }
 
-TEST_CASE("A peer that sends rarely is given time accordingly", "[proxy]") {
+TEST_CASE("A peer with a longer interval has a longer timeout", "[proxy]") {
   PeerTable table("a", 1);
   PeerMessage message = From("b", 9, 1);
   message.interval = Duration(2'000'000);
   table.Receive(kOther, message, kStart);
-  CHECK(table.Alive(table.All().at(kOther), kStart + Duration(5'900'000)));
-  CHECK_FALSE(table.Alive(table.All().at(kOther), kStart + Duration(6'100'000)));
+  CHECK(table.IsAlive(table.All().at(kOther), kStart + Duration(5'900'000)));
+  CHECK_FALSE(table.IsAlive(table.All().at(kOther), kStart + Duration(6'100'000)));
   CHECK(common::ValueOf(DecodePeerMessage(EncodePeerMessage(message))).interval ==
         message.interval);
 }
 
-TEST_CASE("Whether a hub is informed passes the wire", "[proxy]") {
+TEST_CASE("Whether a hub is informed is encoded and decoded", "[proxy]") {
   for (const bool informed : {false, true}) {
     PeerMessage message = From("b", 9, 1);
     message.view.from_hub = true;
