--- a/src/host/metrics.cc
+++ b/src/host/metrics.cc
@@ -156,7 +156,7 @@
   Gauge("valvekeel_relayed_sessions_total", "Sessions handed to an owner", {{"outcome", "moved"}},
         static_cast<double>(relayed.moved));
   Gauge("valvekeel_sessions_outside_regions_total", "Sessions that no region may run", {},
-        static_cast<double>(proxy.Relay().RefusedOutside()));
+        static_cast<double>(proxy.Relay().RefusedOutsideRegions()));
   for (const auto& [reason, count] : counters.barred) {
     Gauge("valvekeel_barred_total", "Requests refused or ended by rules on where work may run",
           {{"reason", reason}}, static_cast<double>(count));
@@ -170,7 +170,7 @@
   Gauge("valvekeel_store_connected", "1 if the metadata store answers", {},
         proxy.CatalogView().Connected() ? 1 : 0);
   Gauge("valvekeel_live_daemons", "Other daemons heard", {},
-        static_cast<double>(proxy.LiveDaemons(now)));
+        static_cast<double>(proxy.CountOtherLiveDaemons(now)));
   for (const auto& [service, group] : proxy.Groups().All()) {
     Gauge("valvekeel_group_term", "Term of the known primary", {{"service", service}},
           group.lease.Newest().term);
--- a/src/host/proxy_host.cc
+++ b/src/host/proxy_host.cc
@@ -286,7 +286,7 @@
     return false;
   }
   if (const auto* reply = std::get_if<model::Reply>(&message)) {
-    proxy_.Answered(number, *reply, now);
+    proxy_.InstanceAnswered(number, *reply, now);
     return true;
   }
   Log("instance_protocol_error", {{"reason", std::get<InstanceFault>(message).reason}});
@@ -314,8 +314,8 @@
         if (!error) {
           const auto message = proxy::DecodePeerMessage({peer_input_.data(), count});
           if (common::IsOk(message)) {
-            proxy_.PeerHeard({peer_sender_.address().to_string(), peer_sender_.port()},
-                             common::ValueOf(message), common::SteadyNow());
+            proxy_.PeerMessageReceived({peer_sender_.address().to_string(), peer_sender_.port()},
+                                       common::ValueOf(message), common::SteadyNow());
             Drain();
           }
         }
@@ -328,7 +328,7 @@
     return {ready_ ? kReadyStatus : kNotReadyStatus, "", "text/plain", {}};
   }
   if (request.target == kCatalogPath) {
-    return {kReadyStatus, EncodeCatalogCopy(proxy_.Catalog()), "application/json", {}};
+    return {kReadyStatus, EncodeCatalogCopy(proxy_.CopyCatalog()), "application/json", {}};
   }
   if (request.target == kConfigurationPath) {
     return {kReadyStatus,
--- a/src/host/proxy_host_actions.cc
+++ b/src/host/proxy_host_actions.cc
@@ -70,7 +70,7 @@
   }
 
   void on_goodbye() override {
-    host_.proxy_.RelayAskedToEnd(session_);
+    host_.proxy_.RelayEndRequested(session_);
     host_.Drain();
   }
 
@@ -82,7 +82,7 @@
   }
 
   void on_read(bool between_messages) override {
-    host_.proxy_.RelayHeard(session_, between_messages, common::SteadyNow());
+    host_.proxy_.RelayDataReceived(session_, between_messages, common::SteadyNow());
   }
 
   void on_ended(const std::string& reason, bool was_open) override {
@@ -176,7 +176,7 @@
   caller.link = std::make_unique<relay_link::owner_link>(
       loop_, adapter_.NewInstanceCodec(), std::make_unique<OwnerEvents>(*this, action.session));
   caller.link->open(action.owner, settings_.connect_timeout,
-                    relay::encode({action.least_configuration, true}) + caller.unaccepted);
+                    relay::encode({action.required_configuration, true}) + caller.unaccepted);
 }
 
 void ProxyHost::Do(const proxy::CloseRelay& action) {
@@ -186,7 +186,7 @@
   }
 }
 
-void ProxyHost::Do(const proxy::AskToEnd& action) {
+void ProxyHost::Do(const proxy::RequestSessionEnd& action) {
   const auto found = callers_.find(action.session);
   if (found != callers_.end()) {
     found->second.stream->Send(std::string(1, relay::GOODBYE));
@@ -235,7 +235,7 @@
   });
 }
 
-void ProxyHost::Do(const proxy::WriteDaemon& action) {
+void ProxyHost::Do(const proxy::WriteDaemonEntry& action) {
   const proxy::CallNumber call = action.call;
   adapter_.Store().WriteDaemon(action.entry, [this, call](bool written) {
     proxy_.DaemonWritten(call, written, common::SteadyNow());
@@ -251,7 +251,7 @@
   });
 }
 
-void ProxyHost::Do(const proxy::SendPeer& action) {
+void ProxyHost::Do(const proxy::SendPeerMessage& action) {
   asio::error_code error;
   const auto host = asio::ip::make_address(action.address.host, error);
   if (!error) {
--- a/src/proxy/actions.h
+++ b/src/proxy/actions.h
@@ -80,8 +80,8 @@
 /// that follows both ways.
 struct RelaySession {
   SessionNumber session = 0;
-  common::Endpoint owner;                 // where it takes relayed sessions
-  std::uint64_t least_configuration = 0;  // version that must be in force there
+  common::Endpoint owner;                    // where it takes relayed sessions
+  std::uint64_t required_configuration = 0;  // version that must be in force there
 };
 
 /// Closes the link of a relayed session, if there still is one.
@@ -90,7 +90,7 @@
 };
 
 /// Asks the daemon that handed a session over to end it as it rests.
-struct AskToEnd {
+struct RequestSessionEnd {
   SessionNumber session = 0;
 };
 
@@ -116,7 +116,7 @@
 };
 
 /// Writes what this daemon announces of itself, whatever is there.
-struct WriteDaemon {
+struct WriteDaemonEntry {
   CallNumber call = 0;
   model::DaemonEntry entry;
 };
@@ -129,7 +129,7 @@
   std::uint64_t token = 0;
 };
 
-struct SendPeer {
+struct SendPeerMessage {
   common::Endpoint address;
   PeerMessage message;
 };
@@ -157,9 +157,10 @@
   std::vector<std::pair<const char*, std::string>> fields;
 };
 
-using Action = std::variant<OpenConnection, SendRequests, CloseConnection, AcceptSession,
-                            AnswerCaller, CloseSession, RelaySession, CloseRelay, AskToEnd,
-                            ReadCatalog, ReadLeadership, ReadConfiguration, WriteLeadership,
-                            WriteDaemon, Promote, SendPeer, FetchCatalog, SetReady, Exit, LogEvent>;
+using Action =
+    std::variant<OpenConnection, SendRequests, CloseConnection, AcceptSession, AnswerCaller,
+                 CloseSession, RelaySession, CloseRelay, RequestSessionEnd, ReadCatalog,
+                 ReadLeadership, ReadConfiguration, WriteLeadership, WriteDaemonEntry, Promote,
+                 SendPeerMessage, FetchCatalog, SetReady, Exit, LogEvent>;
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/catalog_state.cc
+++ b/src/proxy/catalog_state.cc
@@ -292,7 +292,7 @@
               {{"collection", CollectionName(call.collection)},
                {"status", std::to_string(static_cast<int>(result.status))},
                {"call", call.watch ? "watch" : "list"},
-               {"after_ms", Milliseconds(now - call.sent)}},
+               {"after_ms", MillisecondsText(now - call.sent)}},
               LogLevel::kWarning);
 }
 
--- a/src/proxy/configuration_prover.cc
+++ b/src/proxy/configuration_prover.cc
@@ -44,7 +44,7 @@
     const auto age = admission_.proof().age(admission_.configuration_version(), now);
     outbox_.Log(unproven ? "keys_unproven" : "keys_proven",
                 {{"version", std::to_string(admission_.configuration_version())},
-                 {"proof_age_ms", age ? Milliseconds(*age) : "none"}},
+                 {"proof_age_ms", age ? MillisecondsText(*age) : "none"}},
                 unproven ? LogLevel::kWarning : LogLevel::kInfo);
   }
   if (call_ || !IsDue(duty, now)) {
--- a/src/proxy/dispatcher.cc
+++ b/src/proxy/dispatcher.cc
@@ -322,19 +322,19 @@
   session.operation.reset();
   waiting_.remove(session.number);
   const GroupState* group = groups_.Find(operation.route.service);
-  outbox_.Log(
-      "request_failed",
-      {{"request", operation.caller.request_id},
-       {"error", model::ErrorCodeName(code)},
-       {"reason", reason},
-       {"service", operation.route.service},
-       {"instance", operation.instance},
-       {"attempts", std::to_string(operation.attempts)},
-       {"held_ms", Milliseconds(now - operation.arrived)},
-       {"forecast_ms", operation.forecast ? Milliseconds(*operation.forecast) : ""},
-       {"term", group == nullptr ? "" : std::to_string(group->lease.Newest().term)},
-       {"lease_age_ms", group == nullptr ? "" : Milliseconds(now - group->lease.Newest().started)}},
-      LogLevel::kWarning);
+  outbox_.Log("request_failed",
+              {{"request", operation.caller.request_id},
+               {"error", model::ErrorCodeName(code)},
+               {"reason", reason},
+               {"service", operation.route.service},
+               {"instance", operation.instance},
+               {"attempts", std::to_string(operation.attempts)},
+               {"held_ms", MillisecondsText(now - operation.arrived)},
+               {"forecast_ms", operation.forecast ? MillisecondsText(*operation.forecast) : ""},
+               {"term", group == nullptr ? "" : std::to_string(group->lease.Newest().term)},
+               {"lease_age_ms",
+                group == nullptr ? "" : MillisecondsText(now - group->lease.Newest().started)}},
+              LogLevel::kWarning);
   if (operation.caller.command.kind == model::CommandKind::kCommit) {
     EndTransaction(session, now);
   }
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -76,7 +76,8 @@
     FailTransaction(session, now);
   }
   FinishWithError(session, pinned ? model::ErrorCode::kAborted : model::ErrorCode::kBusy,
-                  "retry_after_ms=" + Milliseconds(barred->come_back) + " " + barred->reason, now);
+                  "retry_after_ms=" + MillisecondsText(barred->come_back) + " " + barred->reason,
+                  now);
   return true;
 }
 
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -64,7 +64,7 @@
   const std::string primary = groups_.UsablePrimary(service, now);
   const Backend* leader = backends_.Find(primary);
   if (NeedsPrimary(session)) {
-    if (leader == nullptr || !placement_.TakesWork(*leader, now) ||
+    if (leader == nullptr || !placement_.AcceptsWork(*leader, now) ||
         access_.judge(leader->Entry(), WorkOf(session), now).outcome >= access::verdict::later) {
       return {};
     }
@@ -76,9 +76,10 @@
     return {at_primary};
   }
   const GroupState& group = groups_.Get(service, now);
-  const ReadNeed need{operation.route.consistency, operation.route.max_staleness,
-                      session.transaction.open ? session.transaction.began : operation.arrived,
-                      session.own_commit, session.own_commit_at};
+  const ReadParameters need{
+      operation.route.consistency, operation.route.max_staleness,
+      session.transaction.open ? session.transaction.began : operation.arrived, session.own_commit,
+      session.own_commit_at};
   return placement_.Candidates(group, primary, groups_.Members(service), need, WorkOf(session),
                                now);
 }
@@ -211,7 +212,7 @@
   operation.instance = place.instance;
   operation.connection = connection->number;
   operation.required_age = place.age;
-  operation.required_own = place.own;
+  operation.required_own = place.is_own_commit;
   ++operation.attempts;
   SendPreparation(session, backend, *connection, place.required, now);
   return true;
@@ -440,7 +441,7 @@
                {"reason", "the instance answered so"},
                {"service", operation.route.service},
                {"instance", instance},
-               {"held_ms", Milliseconds(now - operation.arrived)}},
+               {"held_ms", MillisecondsText(now - operation.arrived)}},
               LogLevel::kWarning);
   if (session.transaction.open) {
     session.transaction.failed = reply.state == model::TransactionState::kFailed;
--- a/src/proxy/dispatcher_tenants.cc
+++ b/src/proxy/dispatcher_tenants.cc
@@ -14,7 +14,7 @@
 };
 
 std::string ComeBackAfter(common::Duration pause) {
-  return "retry_after_ms=" + Milliseconds(pause);
+  return "retry_after_ms=" + MillisecondsText(pause);
 }
 
 Refusal RefusalOf(const tenants::admission_result& result) {
@@ -63,8 +63,8 @@
                {"tenant", result.tenant},
                {"service", route.service},
                {"version", std::to_string(admission_.configuration_version())},
-               {"proof_age_ms", Milliseconds(result.proof_age)},
-               {"retry_after_ms", Milliseconds(result.come_back)}},
+               {"proof_age_ms", MillisecondsText(result.proof_age)},
+               {"retry_after_ms", MillisecondsText(result.come_back)}},
               LogLevel::kWarning);
 }
 
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -76,7 +76,7 @@
     admission_.limiter().note_resent(operation.tenant, now);
     outbox_.Log("request_resent", {{"request", operation.caller.request_id},
                                    {"instance", operation.instance},
-                                   {"waited_ms", Milliseconds(now - operation.sent)},
+                                   {"waited_ms", MillisecondsText(now - operation.sent)},
                                    {"attempt", std::to_string(operation.attempts)}});
     Abandon(session, now);
     // A fresh measure of patience elsewhere, within the statement's time.
@@ -118,7 +118,7 @@
   }
   outbox_.Log("transaction_ended", {{"request", transaction.begin_id},
                                     {"instance", transaction.instance},
-                                    {"idle_ms", Milliseconds(now - transaction.last_active)}});
+                                    {"idle_ms", MillisecondsText(now - transaction.last_active)}});
   FailTransaction(session, now);
 }
 
@@ -256,7 +256,7 @@
       // What rests here may have its next command on the link: of 238 links that owners closed
       // on a command in three days of planned stops, 209 did within 10 ms of it.
       session.asked_to_end = now;
-      outbox_.Emit(AskToEnd{number});
+      outbox_.Emit(RequestSessionEnd{number});
       ++asked;
     }
     if (to_be_asked && now < *session.asked_to_end + kGoodbyeTime) {
--- a/src/proxy/dispatcher_waiting.cc
+++ b/src/proxy/dispatcher_waiting.cc
@@ -78,7 +78,7 @@
   std::map<std::string, std::size_t> slots_at_primary;
   for (const auto& [id, backend] : backends_.All()) {
     const std::string& service = backend.Entry().service;
-    const bool usable = placement_.TakesWork(backend, now);
+    const bool usable = placement_.AcceptsWork(backend, now);
     const std::size_t limit = usable ? static_cast<std::size_t>(backend.InFlightLimit()) : 0;
     slots[service] += limit;
     slots_at_primary[service] += groups_.UsablePrimary(service, now) == id ? limit : 0;
@@ -128,7 +128,7 @@
   refused.likely_wait = operation.forecast;
   const common::Duration pause = waiting::come_back(refused);
   FinishWithError(session, model::ErrorCode::kBusy,
-                  "retry_after_ms=" + Milliseconds(pause) + " " + reason, now);
+                  "retry_after_ms=" + MillisecondsText(pause) + " " + reason, now);
 }
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/group_set.cc
+++ b/src/proxy/group_set.cc
@@ -461,7 +461,7 @@
                  {"primary", state.lease.Newest().primary},
                  {"term", std::to_string(state.lease.Newest().term)},
                  {"reason", suspicion},
-                 {"confirmed_ms_ago", Milliseconds(now - state.lease.Newest().started)}},
+                 {"confirmed_ms_ago", MillisecondsText(now - state.lease.Newest().started)}},
                 LogLevel::kWarning);
   } else {
     outbox_.Log("primary_regained", {{"service", state.service},
--- a/src/proxy/outbox.h
+++ b/src/proxy/outbox.h
@@ -31,7 +31,7 @@
 };
 
 /// @return the duration in whole milliseconds, for logs.
-inline std::string Milliseconds(common::Duration duration) {
+inline std::string MillisecondsText(common::Duration duration) {
   return std::to_string(duration.count() / 1000);
 }
 
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -59,21 +59,23 @@
       admission_(settings_.tenants),
       allocator_(settings_.tenants),
       peers_(settings_.name, settings_.incarnation),
-      view_({settings_.name, settings_.zone, settings_.peer, settings_.capacity}, settings_.view),
+      membership_({settings_.name, settings_.zone, settings_.peer, settings_.capacity},
+                  settings_.view),
       roles_(settings_.name, settings_.roles),
       backends_(outbox_),
       groups_(settings_, backends_, roles_, outbox_),
       catalog_(settings_, outbox_),
-      failover_(settings_, backends_, groups_, access_, peers_, view_, roles_, outbox_),
+      failover_(settings_, backends_, groups_, access_, peers_, membership_, roles_, outbox_),
       store_lease_(settings_, groups_, roles_, outbox_),
       prover_(settings_, admission_, outbox_),
       dispatcher_(settings_, backends_, groups_, admission_, access_, outbox_),
-      relay_(settings_, roles_, peers_, view_, admission_, regions_, dispatcher_, outbox_),
+      session_relay_(settings_, roles_, peers_, membership_, admission_, regions_, dispatcher_,
+                     outbox_),
       random_(seed),
-      own_read_delay_(JitterUpTo(kOwnReadSpread)) {
+      direct_read_delay_(JitterUpTo(kOwnReadSpread)) {
   access_.add(region_rule_);
   backends_.SetObserver(&dispatcher_);
-  if (FollowsEvacuations()) {
+  if (EvacuationsEnabled()) {
     access_.add(evacuation_rule_);
   }
   backends_.SetLifeObserver(&warm_up_);
@@ -95,53 +97,55 @@
 void Proxy::SessionStarted(SessionNumber session, const std::string& database,
                            const tenants::key_digest& key, const SessionOrigin& origin,
                            common::Instant now) {
-  if (TooLateForSessions(now)) {
+  if (IsTooLateForSessions(now)) {
     RefuseSession(session, database, origin);
     return;
   }
   if (origin.handed_over) {
-    NoteConfigurationAhead(origin.daemon, origin.least_configuration, now);
+    RecordNewerConfiguration(origin.daemon, origin.required_configuration, now);
   }
-  relay_.SessionStarted(session, database, key, origin, now);
+  session_relay_.SessionStarted(session, database, key, origin, now);
 }
 
 void Proxy::CommandReceived(SessionNumber session, const CallerCommand& command,
                             common::Instant now) {
-  if (relay_.Relays(session)) {
-    relay_.Sessions().command_sent(session, command.command.kind, now);
+  if (session_relay_.Relays(session)) {
+    session_relay_.Sessions().command_sent(session, command.command.kind, now);
     return;
   }
-  if (relay_.KeepCommand(session, command)) {
+  if (session_relay_.QueueCommand(session, command)) {
     return;
   }
   dispatcher_.CommandReceived(session, command, now);
 }
 
 void Proxy::RelayAccepted(SessionNumber session, common::Instant now) {
-  relay_.Sessions().accepted(session, now);
+  session_relay_.Sessions().accepted(session, now);
 }
 
 void Proxy::RelayDeclined(SessionNumber session, common::Instant now) {
-  relay_.Sessions().declined(session, now);
+  session_relay_.Sessions().declined(session, now);
 }
 
 void Proxy::RelayAnswered(SessionNumber session, model::TransactionState state,
                           common::Instant now) {
-  relay_.Sessions().answered(session, state, now);
+  session_relay_.Sessions().answered(session, state, now);
 }
 
-void Proxy::RelayAskedToEnd(SessionNumber session) { relay_.Sessions().asked_to_end(session); }
+void Proxy::RelayEndRequested(SessionNumber session) {
+  session_relay_.Sessions().asked_to_end(session);
+}
 
-void Proxy::RelayHeard(SessionNumber session, bool between_messages, common::Instant now) {
-  relay_.Sessions().owner_spoke(session, between_messages, now);
+void Proxy::RelayDataReceived(SessionNumber session, bool between_messages, common::Instant now) {
+  session_relay_.Sessions().owner_spoke(session, between_messages, now);
 }
 
 void Proxy::RelayEnded(SessionNumber session, const relay::link_end& end, common::Instant now) {
-  relay_.Sessions().link_ended(session, end, now);
+  session_relay_.Sessions().link_ended(session, end, now);
 }
 
 void Proxy::SessionClosed(SessionNumber session, common::Instant now) {
-  relay_.SessionClosed(session);
+  session_relay_.SessionClosed(session);
   dispatcher_.SessionClosed(session, now);
 }
 
@@ -154,7 +158,8 @@
   backends_.OpenFailed(connection, failure, error, now);
 }
 
-void Proxy::Answered(ConnectionNumber connection, const model::Reply& reply, common::Instant now) {
+void Proxy::InstanceAnswered(ConnectionNumber connection, const model::Reply& reply,
+                             common::Instant now) {
   backends_.Answered(connection, reply, now);
 }
 
@@ -163,21 +168,21 @@
 }
 
 void Proxy::CatalogRead(CallNumber call, const metadata::ReadResult& result, common::Instant now) {
-  NoteEra(result.revision.era, now);
+  OnStoreEra(result.revision.era, now);
   if (EvacuationsRead(call, result, now)) {
     return;
   }
-  Apply(catalog_.Answered(call, result, now, Jitter()), now);
+  ApplyCatalogUpdate(catalog_.Answered(call, result, now, Jitter()), now);
   catalog_.Tick(now);
 }
 
 void Proxy::LeadershipRead(CallNumber call, const std::optional<model::LeadershipRecord>& record,
                            const model::Revision& revision, common::Instant now) {
-  NoteEra(revision.era, now);
+  OnStoreEra(revision.era, now);
   // A record of an earlier era says nothing of what was begun in this one.
   const bool of_present_era = record && store_lease_.AskedEra() == catalog_.Era();
   store_lease_.Read(call, of_present_era ? record : std::nullopt);
-  if (large_) {
+  if (large_deployment_) {
     catalog_.NoteProbe(record.has_value());
   }
   if (of_present_era) {
@@ -185,21 +190,21 @@
   }
 }
 
-void Proxy::NoteEra(std::uint64_t era, common::Instant now) {
+void Proxy::OnStoreEra(std::uint64_t era, common::Instant now) {
   catalog_.NoteEra(era, "store", now);
-  if (catalog_.Era() == followed_era_) {
+  if (catalog_.Era() == applied_era_) {
     return;
   }
-  const bool returned = followed_era_ != 0;
-  followed_era_ = catalog_.Era();
-  failover_.BeginEra(followed_era_, now);
+  const bool returned = applied_era_ != 0;
+  applied_era_ = catalog_.Era();
+  failover_.BeginEra(applied_era_, now);
   if (returned || !settings_.first_start) {
     groups_.BeginEra(now);
   }
   if (returned) {
     // This daemon's entry may be gone, and a promoter waits only for the leases of who is listed.
     registered_ = false;
-    registering_.reset();
+    registration_call_.reset();
     register_not_before_ = now;
     groups_.SetRegistered(false);
     Register(now);
@@ -209,17 +214,17 @@
 void Proxy::ConfigurationRead(CallNumber call,
                               const std::optional<model::Configuration>& configuration,
                               const model::Revision& revision, common::Instant now) {
-  NoteEra(revision.era, now);
+  OnStoreEra(revision.era, now);
   const auto version =
       configuration ? std::optional(configuration->version) : std::optional<std::uint64_t>();
   if (prover_.Read(call, version, catalog_) && configuration) {
-    Apply(catalog_.TakeRead(*configuration, revision, now), now);
+    ApplyCatalogUpdate(catalog_.TakeRead(*configuration, revision, now), now);
   }
 }
 
 void Proxy::LeadershipWritten(CallNumber call, const failover::WriteResult& result,
                               common::Instant now) {
-  NoteEra(result.revision.era, now);
+  OnStoreEra(result.revision.era, now);
   failover_.RecordWritten(call, result, now);
   failover_.Tick(catalog_.Configuration(), catalog_.Daemons(), catalog_.Connected(), now);
 }
@@ -230,59 +235,59 @@
 }
 
 void Proxy::DaemonWritten(CallNumber call, bool written, common::Instant now) {
-  if (registering_ != call) {
+  if (registration_call_ != call) {
     return;
   }
-  registering_.reset();
+  registration_call_.reset();
   registered_ = written;
   groups_.SetRegistered(registered_ || catalog_.ListsDaemon(settings_.name));
   register_not_before_ = now + kRegisterPause;
   outbox_.Log("daemon_registered", {{"written", written ? "true" : "false"}});
 }
 
-void Proxy::PeerHeard(const common::Endpoint& from, const PeerMessage& message,
-                      common::Instant now) {
+void Proxy::PeerMessageReceived(const common::Endpoint& from, const PeerMessage& message,
+                                common::Instant now) {
   const bool was_alive = peers_.AliveInLife(from, message.incarnation, now);
   const auto counted_from = peers_.Receive(from, message, now);
   const auto peer = peers_.All().find(from);
   if (peer == peers_.All().end()) {
     return;  // our own
   }
-  TakeView(from, message, now);
-  TakeTenants(peer->second, message, counted_from, now);
-  TakeEvacuations(message, counted_from, now);
-  const bool has_news =
-      large_ ? view_.is_hub() || roles_.coordinates() : roles_.meshed() || roles_.watches_any();
-  const bool introduces = large_ && OwesIntroduction(peer->second, now);
+  ApplyMembershipMessage(from, message, now);
+  ApplyTenantState(peer->second, message, counted_from, now);
+  ApplyEvacuations(message, counted_from, now);
+  const bool has_news = large_deployment_ ? membership_.is_hub() || roles_.coordinates()
+                                          : roles_.meshed() || roles_.watches_any();
+  const bool introduces = large_deployment_ && IsHubListDue(peer->second, now);
   if ((!was_alive && has_news) || introduces) {
     // A daemon that has just come learns at once what it can't know by itself yet.
     SendHeartbeat(peer->second, MakeHeartbeat(true, now), now);
   }
   if (groups_.TakeReports(message, counted_from)) {
     // Who announced the fence waits for the word that the lease was let go.
-    SendHeartbeat(peer->second, MakeHeartbeat(TellsAll(), now), now);
+    SendHeartbeat(peer->second, MakeHeartbeat(ReportsAllGroups(), now), now);
   }
-  NoteConfigurationAhead(from, message.configuration_version, now);
+  RecordNewerConfiguration(from, message.configuration_version, now);
   catalog_.NoteRevisions({message.configuration_revision, message.instances_revision}, now);
-  NoteEra(catalog_.Era(), now);
+  OnStoreEra(catalog_.Era(), now);
 }
 
 void Proxy::CatalogFetched(CallNumber call, const std::optional<CatalogCopy>& copy,
                            common::Instant now) {
-  if (fetching_ != call) {
+  if (fetch_call_ != call) {
     return;
   }
-  fetching_.reset();
+  fetch_call_.reset();
   fetch_not_before_ = now + kFetchPause;
   if (copy) {
-    Apply(catalog_.TakeCopy(*copy), now);
+    ApplyCatalogUpdate(catalog_.TakeCopy(*copy), now);
   } else {
     outbox_.Log("catalog_fetch_failed", {}, LogLevel::kWarning);
   }
 }
 
-void Proxy::Apply(const CatalogUpdate& update, common::Instant now) {
-  NoteWarmUps(update, now);
+void Proxy::ApplyCatalogUpdate(const CatalogUpdate& update, common::Instant now) {
+  RecordWarmUpEntries(update, now);
   for (const model::InstanceEntry& instance : update.instances) {
     backends_.SetEntry(instance, now);
     // Another writer's entry may name any service: no state is kept of one that isn't configured.
@@ -328,22 +333,22 @@
   UpdateRoles(now);
   ApplyRegions(now);
   dispatcher_.SetConfiguration(&catalog_.Configuration(), now);
-  relay_.SetConfiguration(&catalog_.Configuration(), now);
+  session_relay_.SetConfiguration(&catalog_.Configuration(), now);
 }
 
-std::size_t Proxy::SharingDaemons(common::Instant now) const {
-  const std::size_t heard =
-      large_ ? view_.live_within(kSharingAge, now) : peers_.HeardWithin(kSharingAge, now) + 1;
-  const bool new_here = started_ && now < *started_ + kSharingAge;
+std::size_t Proxy::CountSharingDaemons(common::Instant now) const {
+  const std::size_t heard = large_deployment_ ? membership_.live_within(kSharingAge, now)
+                                              : peers_.HeardWithin(kSharingAge, now) + 1;
+  const bool new_here = started_at_ && now < *started_at_ + kSharingAge;
   return std::max(heard, new_here ? catalog_.Daemons().size() : std::size_t{1});
 }
 
 std::vector<relay::member> Proxy::LiveMembers(common::Instant now) const {
-  if (!large_) {
-    return MembersHeard(now);
+  if (!large_deployment_) {
+    return ReachableMembers(now);
   }
   std::vector<relay::member> members;
-  for (const membership::member& each : view_.live()) {
+  for (const membership::member& each : membership_.live()) {
     if (!each.stopping) {
       members.push_back({each.name, each.zone, each.store_connected, each.capacity});
     }
@@ -351,7 +356,7 @@
   return members;
 }
 
-std::vector<relay::member> Proxy::MembersHeard(common::Instant now) const {
+std::vector<relay::member> Proxy::ReachableMembers(common::Instant now) const {
   std::vector<relay::member> members;
   if (!stopping_since_) {
     members.push_back({settings_.name, settings_.zone, catalog_.Connected(), settings_.capacity});
@@ -365,7 +370,7 @@
       members.push_back({peer.name, peer.last.zone, peer.last.store_connected, peer.last.capacity});
     }
   }
-  const bool greeting = started_ && now < *started_ + kGreetingTime;
+  const bool greeting = started_at_ && now < *started_at_ + kGreetingTime;
   for (const auto& [name, daemon] : catalog_.Daemons()) {
     if (greeting && name != settings_.name && !heard.contains(name)) {
       members.push_back({name, daemon.zone, false, daemon.capacity});
@@ -376,68 +381,69 @@
 
 void Proxy::UpdateRoles(common::Instant now) {
   roles_due_ = now + kRolesInterval;
-  UpdateView(now);
-  if (limits_version_ != catalog_.Configuration().version) {
-    limits_version_ = catalog_.Configuration().version;
+  UpdateMembership(now);
+  if (connection_limits_version_ != catalog_.Configuration().version) {
+    connection_limits_version_ = catalog_.Configuration().version;
     connection_limits_.clear();
     for (const auto& [name, service] : catalog_.Configuration().services) {
       connection_limits_[name] = service.max_connections;
     }
   }
   // Without a word of the others this daemon would take all connections for its own.
-  const bool greeted = now >= *started_ + kGreetingTime;
+  const bool greeted = now >= *started_at_ + kGreetingTime;
   const bool others_known = greeted || (catalog_.DaemonsKnown() && !settings_.first_start);
   if (others_known) {
-    const bool may_be_direct = !large_ || now >= *started_ + kDirectAfter;
-    const bool changed =
-        roles_.update(LiveMembers(now), SharingDaemons(now), connection_limits_, may_be_direct);
+    const bool may_be_direct = !large_deployment_ || now >= *started_at_ + kDirectAfter;
+    const bool changed = roles_.update(LiveMembers(now), CountSharingDaemons(now),
+                                       connection_limits_, may_be_direct);
     const std::set<std::string> in_use =
         roles_.meshed() ? std::set<std::string>() : dispatcher_.ServicesInUse();
-    SetInterest(!in_use.empty(), now);
+    UpdateCatalogInterest(!in_use.empty(), now);
     backends_.SetMostOpening(roles_.meshed() ? kOpeningMeshed : kOpeningOwner);
-    if (changed || in_use != limited_in_use_) {
-      limited_in_use_ = in_use;
-      LimitConnections(in_use);
+    if (changed || in_use != connection_limits_in_use_) {
+      connection_limits_in_use_ = in_use;
+      SetConnectionLimits(in_use);
     }
-    EndGuests(in_use, now);
+    EndSessionsOfUnownedServices(in_use, now);
     UpdateWarmUpRole(now);
   }
-  if (large_) {
+  if (large_deployment_) {
     ChoosePartners(now);
   }
 }
 
-void Proxy::LimitConnections(const std::set<std::string>& in_use) {
+void Proxy::SetConnectionLimits(const std::set<std::string>& in_use) {
   for (const auto& [name, most] : connection_limits_) {
     backends_.SetConnectionLimit(name, roles_.connections(name, in_use.contains(name)),
                                  roles_.coordinates() || roles_.owns(name));
   }
 }
 
-void Proxy::SetInterest(bool serves_guests, common::Instant now) {
-  serves_guests_ = serves_guests;
+void Proxy::UpdateCatalogInterest(bool serves_guests, common::Instant now) {
+  serves_unowned_services_ = serves_guests;
   const bool connects = roles_.watches_any() || serves_guests;
-  catalog_.SetInterest(
-      {roles_.meshed(), roles_.coordinates(), store_lease_.IsReader(), connects, IsInformed(now)});
+  catalog_.SetInterest({roles_.meshed(), roles_.coordinates(), store_lease_.IsReader(), connects,
+                        CanSkipStoreCalls(now)});
 }
 
-bool Proxy::IsInformed(common::Instant now) {
-  if (HearsFollower(now)) {
-    uninformed_since_.reset();
+bool Proxy::CanSkipStoreCalls(common::Instant now) {
+  if (HasConnectedCoordinator(now)) {
+    no_connected_coordinator_since_.reset();
     return true;
   }
-  if (!uninformed_since_) {
-    uninformed_since_ = now;
+  if (!no_connected_coordinator_since_) {
+    no_connected_coordinator_since_ = now;
   }
   // While the store is away, calls of all daemons would be refused, and are paid for.
-  return large_ && !roles_.is_deputy() && now < *uninformed_since_ + kUninformedLimit;
+  return large_deployment_ && !roles_.is_deputy() &&
+         now < *no_connected_coordinator_since_ + kNoConnectedCoordinatorLimit;
 }
 
-bool Proxy::HearsFollower(common::Instant now) const {
+bool Proxy::HasConnectedCoordinator(common::Instant now) const {
   const std::vector<std::string>& coordinators = roles_.coordinators();
   return std::any_of(coordinators.begin(), coordinators.end(), [&](const std::string& name) {
-    if (large_) {
-      const membership::member* member = view_.find(name);
+    if (large_deployment_) {
+      const membership::member* member = membership_.find(name);
       return member != nullptr && member->store_connected && name != settings_.name;
     }
     const Peer* peer = peers_.ByName(name);
@@ -445,16 +451,17 @@
   });
 }
 
-void Proxy::EndGuests(const std::set<std::string>& in_use, common::Instant now) {
+void Proxy::EndSessionsOfUnownedServices(const std::set<std::string>& in_use, common::Instant now) {
   std::set<std::string> foreign;
   for (const std::string& service : in_use) {
     if (!roles_.owns(service)) {
       foreign.insert(service);
     }
   }
-  std::erase_if(guests_since_, [&](const auto& each) { return !foreign.contains(each.first); });
+  std::erase_if(unowned_services_since_,
+                [&](const auto& each) { return !foreign.contains(each.first); });
   for (const std::string& service : foreign) {
-    const auto since = guests_since_.try_emplace(service, now).first;
+    const auto since = unowned_services_since_.try_emplace(service, now).first;
     if (now >= since->second + relay::GUEST_TIME) {
       dispatcher_.EndResting(service, now >= since->second + kHandedOverGuestTime, now);
     }
@@ -462,58 +469,60 @@
 }
 
 void Proxy::Register(common::Instant now) {
-  if (registered_ || registering_ || now < register_not_before_) {
+  if (registered_ || registration_call_ || now < register_not_before_) {
     return;
   }
-  if (IsListed()) {
+  if (IsListedInStore()) {
     registered_ = true;  // in an earlier life
     return;
   }
-  if (!NeedsEntry(now) || !(catalog_.Connected() || settings_.first_start)) {
+  if (!NeedsStoreEntry(now) || !(catalog_.Connected() || settings_.first_start)) {
     return;
   }
-  registering_ = outbox_.NextNumber();
-  outbox_.Emit(WriteDaemon{*registering_,
-                           {settings_.name, settings_.zone, settings_.peer, settings_.capacity}});
+  registration_call_ = outbox_.NextNumber();
+  outbox_.Emit(WriteDaemonEntry{
+      *registration_call_, {settings_.name, settings_.zone, settings_.peer, settings_.capacity}});
 }
 
-bool Proxy::NeedsEntry(common::Instant now) const {
-  if (!large_) {
+bool Proxy::NeedsStoreEntry(common::Instant now) const {
+  if (!large_deployment_) {
     // At a first start the others wait for this entry; it shows soon whether they are many.
-    return settings_.first_start ? now >= *started_ + kSizeKnown : catalog_.DaemonsListed();
+    return settings_.first_start ? now >= *started_at_ + kSizeKnown : catalog_.DaemonsListed();
   }
   // Only who may hold a lease must be known to those who replace primaries.
-  return roles_.known() && (roles_.watches_any() || roles_.next_to_own() || serves_guests_);
+  return roles_.known() &&
+         (roles_.watches_any() || roles_.next_to_own() || serves_unowned_services_);
 }
 
-bool Proxy::IsListed() const {
+bool Proxy::IsListedInStore() const {
   const auto own = catalog_.Daemons().find(settings_.name);
   return catalog_.ListsDaemon(settings_.name) && own != catalog_.Daemons().end() &&
          own->second.peer == settings_.peer && own->second.zone == settings_.zone &&
          own->second.capacity == settings_.capacity;
 }
 
-void Proxy::Bootstrap(common::Instant now) {
+void Proxy::FetchMissingCatalog(common::Instant now) {
   const bool without_instances = catalog_.Instances().empty();
   // In a large deployment a hub hands the configuration out, and few need the instances: all would
   // ask the seeds at once.
   const bool needed_in_large =
       without_instances && roles_.known() && roles_.watches_any() && !catalog_.Connected();
-  const bool needed =
-      large_ ? needed_in_large : catalog_.Configuration().version == 0 || without_instances;
+  const bool needed = large_deployment_
+                          ? needed_in_large
+                          : catalog_.Configuration().version == 0 || without_instances;
   const common::Duration patience = settings_.first_start ? kFirstFetchAfter : kFetchAfter;
-  const bool waiting = fetching_ || now < fetch_not_before_ || now < whole_fetch_not_before_ ||
-                       now < *started_ + patience;
+  const bool waiting = fetch_call_ || now < fetch_not_before_ || now < full_fetch_not_before_ ||
+                       now < *started_at_ + patience;
   if (!needed || waiting || settings_.seed_catalogs.empty()) {
     return;
   }
-  fetching_ = outbox_.NextNumber();
-  whole_fetch_not_before_ = now + (large_ ? kWholeFetchPause : common::Duration(0));
-  const std::size_t index = next_fetch_++ % settings_.seed_catalogs.size();
-  outbox_.Emit(FetchCatalog{*fetching_, settings_.seed_catalogs[index]});
+  fetch_call_ = outbox_.NextNumber();
+  full_fetch_not_before_ = now + (large_deployment_ ? kWholeFetchPause : common::Duration(0));
+  const std::size_t index = next_fetch_seed_++ % settings_.seed_catalogs.size();
+  outbox_.Emit(FetchCatalog{*fetch_call_, settings_.seed_catalogs[index]});
 }
 
-void Proxy::LearnMembers() {
+void Proxy::EnsureMembersKnown() {
   if (const auto as_of = catalog_.InstancesShownAsOf()) {
     groups_.NoteMembersKnown(*as_of);
   }
@@ -524,7 +533,7 @@
 
 bool Proxy::InstancesKnown() const {
   // Who hands sessions to owners needs to know these alone.
-  const bool relays = large_ && !roles_.meshed();
+  const bool relays = large_deployment_ && !roles_.meshed();
   if (relays && !roles_.known()) {
     return false;
   }
@@ -535,16 +544,16 @@
   });
 }
 
-void Proxy::JudgeReadiness(common::Instant now) {
+void Proxy::UpdateReadiness(common::Instant now) {
   bool ready = catalog_.Configuration().version > 0 && !stopping_since_;
   if (!ready_ && ready) {
     ready = InstancesKnown();
   }
   // Once ready, a daemon stays so until it stops: it answers refusals itself.
   ready = (ready || ready_) && !stopping_since_;
-  if (ready != ready_ || !told_ready_) {
+  if (ready != ready_ || !readiness_reported_) {
     ready_ = ready;
-    told_ready_ = true;
+    readiness_reported_ = true;
     outbox_.Emit(SetReady{ready});
     outbox_.Log("readiness", {{"ready", ready ? "true" : "false"}});
   }
@@ -552,26 +561,27 @@
 }
 
 common::Duration Proxy::TickPause() const {
-  const bool quiet = large_ && roles_.known() && !roles_.meshed() && !roles_.watches_any() &&
-                     !view_.is_hub() && !stopping_since_ && ready_ &&
+  const bool quiet = large_deployment_ && roles_.known() && !roles_.meshed() &&
+                     !roles_.watches_any() && !membership_.is_hub() && !stopping_since_ && ready_ &&
                      dispatcher_.SessionCount() == 0;
   return quiet ? kQuietTick : kTick;
 }
 
 void Proxy::Tick(common::Instant now) {
-  if (!started_) {
-    started_ = now;
+  if (!started_at_) {
+    started_at_ = now;
     last_tick_ = now;
   }
   if (now >= last_tick_ + kStandstill) {
-    outbox_.Log("thawed", {{"stood_still_ms", Milliseconds(now - last_tick_)}}, LogLevel::kWarning);
+    outbox_.Log("thawed", {{"stood_still_ms", MillisecondsText(now - last_tick_)}},
+                LogLevel::kWarning);
     groups_.Thawed(now);
   }
   last_tick_ = now;
   catalog_.Tick(now);
-  Bootstrap(now);
+  FetchMissingCatalog(now);
   Register(now);
-  FetchConfigurationAhead(now);
+  FetchNewerConfiguration(now);
   if (now >= roles_due_) {
     UpdateRoles(now);
   }
@@ -582,31 +592,31 @@
   AdvanceEvacuations(now);
   AdvanceRates(now);
   groups_.Tick(now);
-  LearnMembers();
+  EnsureMembersKnown();
   failover_.Tick(catalog_.Configuration(), catalog_.Daemons(), catalog_.Connected(), now);
   dispatcher_.Tick(now);
-  relay_.Tick(now);
-  JudgeReadiness(now);
+  session_relay_.Tick(now);
+  UpdateReadiness(now);
   const bool fence = failover_.TakeUrgent();
   const bool news = groups_.TakeNews();
   if (groups_.TakeConfirmed()) {
-    AdvanceHeartbeats(now);
+    BringHeartbeatsForward(now);
   }
   // In a large deployment most daemons know of a group only what its watchers tell.
   const bool opinion = groups_.TakeOpinionChanged() && !roles_.meshed();
   const bool revision =
-      catalog_.Revisions().configuration > told_configuration_revision_ ||
-      (view_.is_hub() && catalog_.Configuration().version > told_configuration_version_);
-  told_configuration_revision_ = catalog_.Revisions().configuration;
-  told_configuration_version_ = catalog_.Configuration().version;
+      catalog_.Revisions().configuration > sent_configuration_revision_ ||
+      (membership_.is_hub() && catalog_.Configuration().version > sent_configuration_version_);
+  sent_configuration_revision_ = catalog_.Revisions().configuration;
+  sent_configuration_version_ = catalog_.Configuration().version;
   // A new configuration is passed on at once: daemon to hub, hub to hubs, hub to its zone.
   const bool rates = std::exchange(rates_changed_, false);
   const bool evacuations = std::exchange(evacuations_changed_, false);
-  const bool urgent = news || opinion || rates || evacuations || (revision && large_);
+  const bool urgent = news || opinion || rates || evacuations || (revision && large_deployment_);
   const Receivers receivers = fence    ? Receivers::kAll
                               : urgent ? Receivers::kPartners
                                        : Receivers::kDue;
-  SendHeartbeats(receivers, TellsAll() || (news && !roles_.meshed()), now);
+  SendHeartbeats(receivers, ReportsAllGroups() || (news && !roles_.meshed()), now);
   AdvanceStop(now);
 }
 
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -6,13 +6,13 @@
 namespace {
 
 std::string AgeText(const std::optional<common::Duration>& age) {
-  return age ? Milliseconds(*age) : "none";
+  return age ? MillisecondsText(*age) : "none";
 }
 
 }  // namespace
 
 void Proxy::AdvanceEvacuations(common::Instant now) {
-  if (!FollowsEvacuations()) {
+  if (!EvacuationsEnabled()) {
     return;
   }
   const bool sends_work = Admits() || dispatcher_.SessionCount() > 0;
@@ -61,11 +61,11 @@
   return true;
 }
 
-void Proxy::TakeEvacuations(const PeerMessage& message,
-                            const std::optional<common::Instant>& counted_from,
-                            common::Instant now) {
+void Proxy::ApplyEvacuations(const PeerMessage& message,
+                             const std::optional<common::Instant>& counted_from,
+                             common::Instant now) {
   const evacuation::view_message& told = message.evacuations;
-  if (!FollowsEvacuations() || !counted_from || !told.age) {
+  if (!EvacuationsEnabled() || !counted_from || !told.age) {
     return;
   }
   TakeEvacuations(
@@ -95,8 +95,8 @@
   }
 }
 
-void Proxy::TellEvacuations(PeerMessage& message, common::Instant now) const {
-  if (FollowsEvacuations()) {
+void Proxy::AddEvacuations(PeerMessage& message, common::Instant now) const {
+  if (EvacuationsEnabled()) {
     message.evacuations = evacuations_.message(now);
   }
 }
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -57,60 +57,64 @@
 
 }  // namespace
 
-void Proxy::NoteConfigurationAhead(const common::Endpoint& peer, std::uint64_t version,
-                                   common::Instant now) {
+void Proxy::RecordNewerConfiguration(const common::Endpoint& peer, std::uint64_t version,
+                                     common::Instant now) {
   const std::uint64_t own = catalog_.Configuration().version;
-  const bool has_own = own > 0 || large_;
-  newest_version_heard_ = std::max(newest_version_heard_, version);
-  if (has_own && version > own && !ahead_) {
-    ahead_ = ConfigurationAhead{peer, version, now, JitterUpTo(kFetchSpread)};
+  const bool has_own = own > 0 || large_deployment_;
+  newest_reported_version_ = std::max(newest_reported_version_, version);
+  if (has_own && version > own && !newer_configuration_) {
+    newer_configuration_ = NewerConfiguration{peer, version, now, JitterUpTo(kFetchSpread)};
   }
 }
 
-void Proxy::FetchConfigurationAhead(common::Instant now) {
-  if (ahead_ && catalog_.Configuration().version >= ahead_->version) {
-    ahead_.reset();
+void Proxy::FetchNewerConfiguration(common::Instant now) {
+  if (newer_configuration_ && catalog_.Configuration().version >= newer_configuration_->version) {
+    newer_configuration_.reset();
   }
   // Who reads the store itself gives it time to tell. A session that another daemon handed over
   // waits only for a moment.
-  const bool spreads = large_ && !ReadsConfiguration(now) && !relay_.AwaitsConfiguration();
-  const common::Duration pause = spreads && ahead_ ? ahead_->spread : kAheadPause;
-  if (!ahead_ || fetching_ || now < ahead_->noted + pause || now < fetch_not_before_) {
+  const bool spreads =
+      large_deployment_ && !ReadsConfiguration(now) && !session_relay_.AwaitsConfiguration();
+  const common::Duration pause =
+      spreads && newer_configuration_ ? newer_configuration_->spread : kAheadPause;
+  if (!newer_configuration_ || fetch_call_ || now < newer_configuration_->noted + pause ||
+      now < fetch_not_before_) {
     return;
   }
-  const common::Endpoint peer = ahead_->peer;
-  ahead_.reset();
-  fetching_ = outbox_.NextNumber();
-  outbox_.Emit(FetchCatalog{*fetching_, {peer.host, settings_.admin_port}, large_});
+  const common::Endpoint peer = newer_configuration_->peer;
+  newer_configuration_.reset();
+  fetch_call_ = outbox_.NextNumber();
+  outbox_.Emit(FetchCatalog{*fetch_call_, {peer.host, settings_.admin_port}, large_deployment_});
 }
 
 bool Proxy::ReadsConfiguration(common::Instant now) const {
-  if (!large_ || view_.is_hub() || (roles_.known() && roles_.meshed())) {
+  if (!large_deployment_ || membership_.is_hub() || (roles_.known() && roles_.meshed())) {
     return true;
   }
   if (roles_.known() && (roles_.coordinates() || roles_.is_deputy())) {
     return true;
   }
-  const bool lacks = lacks_configuration_since_ &&
-                     now >= *lacks_configuration_since_ + kOwnReadAfter + own_read_delay_;
+  const bool lacks = missing_configuration_since_ &&
+                     now >= *missing_configuration_since_ + kOwnReadAfter + direct_read_delay_;
   // Nobody is heard who would tell of a newer one.
   const bool uninformed =
-      uninformed_since_ && now >= *uninformed_since_ + kUninformedLimit + own_read_delay_;
+      no_connected_coordinator_since_ &&
+      now >= *no_connected_coordinator_since_ + kNoConnectedCoordinatorLimit + direct_read_delay_;
   return lacks || uninformed;
 }
 
 void Proxy::ChooseConfigurationSource(common::Instant now) {
   const std::uint64_t own = catalog_.Configuration().version;
-  const bool lacks = own == 0 || own < newest_version_heard_;
+  const bool lacks = own == 0 || own < newest_reported_version_;
   if (!lacks) {
-    lacks_configuration_since_.reset();
-  } else if (!lacks_configuration_since_) {
-    lacks_configuration_since_ = now;
+    missing_configuration_since_.reset();
+  } else if (!missing_configuration_since_) {
+    missing_configuration_since_ = now;
   }
   catalog_.SetConfigurationSource(ReadsConfiguration(now));
 }
 
-common::Duration Proxy::DutyInterval(const std::string& peer) const {
+common::Duration Proxy::RoleHeartbeatInterval(const std::string& peer) const {
   if (roles_.meshed()) {
     return settings_.heartbeat_interval;
   }
@@ -143,20 +147,20 @@
   }
   partners_.clear();
   const bool owner = roles_.known() && roles_.watches_any();
-  for (const membership::member& each : view_.partners()) {
-    const bool to_hub = !view_.is_hub();
+  for (const membership::member& each : membership_.partners()) {
+    const bool to_hub = !membership_.is_hub();
     AddPartner(each.address, each.name,
                owner && to_hub ? settings_.owner_heartbeat_interval : settings_.view.hub_interval);
   }
   if (roles_.known() && (roles_.meshed() || roles_.watches_any())) {
-    for (const membership::member& each : view_.live()) {
-      const common::Duration interval = DutyInterval(each.name);
+    for (const membership::member& each : membership_.live()) {
+      const common::Duration interval = RoleHeartbeatInterval(each.name);
       if (each.name != settings_.name && interval.count() > 0) {
         AddPartner(each.address, each.name, interval);
       }
     }
   }
-  if (view_.seeks(now)) {
+  if (membership_.seeks(now)) {
     for (const common::Endpoint& seed : settings_.seed_peers) {
       if (seed != settings_.peer) {
         AddPartner(seed, "", kSeekPause);
@@ -164,39 +168,39 @@
     }
   }
   for (Peer* peer : partners_) {
-    if (view_.owes(peer->name, now)) {
+    if (membership_.owes(peer->name, now)) {
       peer->next_heartbeat = now;
     }
   }
 }
 
-void Proxy::UpdateView(common::Instant now) {
-  if (catalog_.Daemons().size() != registered_known_) {
-    registered_known_ = catalog_.Daemons().size();
+void Proxy::UpdateMembership(common::Instant now) {
+  if (catalog_.Daemons().size() != registered_count_) {
+    registered_count_ = catalog_.Daemons().size();
     std::vector<membership::member> registered;
     for (const auto& [name, daemon] : catalog_.Daemons()) {
       registered.push_back({name, daemon.zone, daemon.peer, daemon.capacity});
     }
-    view_.set_registered(std::move(registered), now);
+    membership_.set_registered(std::move(registered), now);
   }
   const std::size_t known =
       std::max(catalog_.Daemons().size(), peers_.HeardWithin(kEarly, now) + 1);
-  large_ = large_ || known > settings_.roles.most_meshed_daemons;
-  if (!large_) {
+  large_deployment_ = large_deployment_ || known > settings_.roles.most_meshed_daemons;
+  if (!large_deployment_) {
     return;
   }
   ChooseConfigurationSource(now);
   // Hubs tell who lives; the list is for those who replace primaries, and for who hears no hub.
-  catalog_.SetDiscovering(!view_.settled() || (roles_.known() && roles_.coordinates()));
-  view_.set_self(HasStore(now), stopping_since_.has_value());
-  view_.update(now);
-  LogViewChange();
+  catalog_.SetDiscovering(!membership_.settled() || (roles_.known() && roles_.coordinates()));
+  membership_.set_self(ReachesStore(now), stopping_since_.has_value());
+  membership_.update(now);
+  LogMembershipChange();
 }
 
-void Proxy::LogViewChange() {
-  const membership::view_change& change = view_.changed();
+void Proxy::LogMembershipChange() {
+  const membership::view_change& change = membership_.changed();
   if (change.hub_changed) {
-    outbox_.Log("hub_changed", {{"acts", view_.is_hub() ? "true" : "false"}});
+    outbox_.Log("hub_changed", {{"acts", membership_.is_hub() ? "true" : "false"}});
   }
   if (change.lost.empty()) {
     return;
@@ -208,26 +212,26 @@
   outbox_.Log("daemons_lost", {{"count", std::to_string(change.lost.size())},
                                {"daemons", names},
                                {"told_by", change.source},
-                               {"hub", view_.is_hub() ? "true" : "false"}});
+                               {"hub", membership_.is_hub() ? "true" : "false"}});
 }
 
-void Proxy::TakeView(const common::Endpoint& from, const PeerMessage& message,
-                     common::Instant now) {
-  large_ = large_ || message.view.large;
-  if (!large_) {
+void Proxy::ApplyMembershipMessage(const common::Endpoint& from, const PeerMessage& message,
+                                   common::Instant now) {
+  large_deployment_ = large_deployment_ || message.view.large;
+  if (!large_deployment_) {
     return;
   }
-  view_.take({message.name, message.zone, from, message.capacity, message.store_connected,
-              message.stopping},
-             message.view, message.interval, now);
+  membership_.take({message.name, message.zone, from, message.capacity, message.store_connected,
+                    message.stopping},
+                   message.view, message.interval, now);
 }
 
-bool Proxy::OwesIntroduction(const Peer& peer, common::Instant now) {
+bool Proxy::IsHubListDue(const Peer& peer, common::Instant now) {
   return peer.heard && peer.wants_introduction && now >= peer.introduced_at + kIntroductionPause;
 }
 
-bool Proxy::HasStore(common::Instant now) const {
-  if (!large_) {
+bool Proxy::ReachesStore(common::Instant now) const {
+  if (!large_deployment_) {
     return catalog_.Connected();
   }
   if (!roles_.known()) {
@@ -239,7 +243,7 @@
                               : roles_.is_deputy() && catalog_.AnsweredWithin(kRecentAnswer, now);
 }
 
-void Proxy::TellRevisions(PeerMessage& message) const {
+void Proxy::AddRevisions(PeerMessage& message) const {
   const CatalogRevisions revisions = catalog_.Revisions();
   message.configuration_revision = revisions.configuration;
   message.instances_revision = revisions.instances;
@@ -249,42 +253,42 @@
   PeerMessage message;
   message.zone = settings_.zone;
   message.capacity = settings_.capacity;
-  message.store_connected = HasStore(now);
+  message.store_connected = ReachesStore(now);
   message.stopping = stopping_since_.has_value();
   message.configuration_version = catalog_.Configuration().version;
-  TellRevisions(message);
+  AddRevisions(message);
   message.groups = groups_.Reports(all_groups, now);
   return message;
 }
 
-bool Proxy::Concerns(const GroupReport& report, const Peer& peer) const {
+bool Proxy::NeedsReport(const GroupReport& report, const Peer& peer) const {
   if (roles_.watches(report.service, peer.name)) {
     return true;
   }
   // Any daemon may hold a lease that must be let go; else only watchers care.
-  return large_ ? report.fence_below > 0 : report.troubled;
+  return large_deployment_ ? report.fence_below > 0 : report.troubled;
 }
 
 void Proxy::SendHeartbeat(Peer& peer, const PeerMessage& whole, common::Instant now) {
   const bool alive = peers_.Alive(peer, now);
   PeerMessage message = WithoutGroups(whole);
-  if (large_) {
-    message.view = view_.message_for(peer.name, now);
-    if (OwesIntroduction(peer, now)) {
-      message.view.introduced = view_.introduction(now);
+  if (large_deployment_) {
+    message.view = membership_.message_for(peer.name, now);
+    if (IsHubListDue(peer, now)) {
+      message.view.introduced = membership_.introduction(now);
       peer.introduced_at = now;
     }
     const bool partner = peer.pace.count() > 0;
     message.interval =
-        partner && (alive || view_.find(peer.name) != nullptr) ? peer.pace : kDeadPeerPause;
+        partner && (alive || membership_.find(peer.name) != nullptr) ? peer.pace : kDeadPeerPause;
   } else {
-    const bool early = now < *started_ + kEarly;
+    const bool early = now < *started_at_ + kEarly;
     message.interval = alive   ? settings_.heartbeat_interval
                        : early ? kEarlyDeadPeerPause
                                : kDeadPeerPause;
   }
-  TellTenants(peer, message, now);
-  TellEvacuations(message, now);
+  AddTenantState(peer, message, now);
+  AddEvacuations(message, now);
   peer.next_heartbeat = now + message.interval;
   SendInParts(peer, std::move(message), whole.groups, now);
 }
@@ -294,7 +298,7 @@
   // Lists of daemons and many reports don't go together.
   const std::size_t most = message.view.lists.empty() ? kMostReports : kMostReportsBesideLists;
   for (const GroupReport& report : groups) {
-    if (!Concerns(report, peer)) {
+    if (!NeedsReport(report, peer)) {
       continue;
     }
     if (message.groups.size() >= (message.continues ? kMostReports : most)) {
@@ -303,17 +307,17 @@
       next.view.introduced.clear();
       next.continues = true;
       peers_.Stamp(peer, message, now);
-      outbox_.Emit(SendPeer{peer.address, std::move(message)});
+      outbox_.Emit(SendPeerMessage{peer.address, std::move(message)});
       message = std::move(next);
     }
     message.groups.push_back(report);
   }
   peers_.Stamp(peer, message, now);
-  outbox_.Emit(SendPeer{peer.address, std::move(message)});
+  outbox_.Emit(SendPeerMessage{peer.address, std::move(message)});
 }
 
 std::vector<Peer*> Proxy::ReceiversOf(Receivers receivers) {
-  if (large_ && receivers != Receivers::kAll) {
+  if (large_deployment_ && receivers != Receivers::kAll) {
     return partners_;
   }
   std::vector<Peer*> all;
@@ -324,13 +328,13 @@
 }
 
 bool Proxy::IsReceiver(const Peer& peer, Receivers receivers, common::Instant now) const {
-  if (now >= peer.next_heartbeat && (!large_ || peer.pace.count() > 0)) {
+  if (now >= peer.next_heartbeat && (!large_deployment_ || peer.pace.count() > 0)) {
     return true;
   }
   if (receivers == Receivers::kDue) {
     return false;
   }
-  return large_ || peers_.Alive(peer, now);
+  return large_deployment_ || peers_.Alive(peer, now);
 }
 
 void Proxy::SendHeartbeats(Receivers receivers, bool all_groups, common::Instant now) {
@@ -346,7 +350,7 @@
   }
 }
 
-bool Proxy::TellsAll() const {
+bool Proxy::ReportsAllGroups() const {
   if (store_lease_.IsReader()) {
     return true;
   }
@@ -358,10 +362,10 @@
                      [&](const auto& group) { return groups_.IsProber(group.first); });
 }
 
-void Proxy::AdvanceHeartbeats(common::Instant now) {
+void Proxy::BringHeartbeatsForward(common::Instant now) {
   // A heartbeat that is due soon carries more if it follows the confirmation at once.
   for (Peer* peer : ReceiversOf(Receivers::kPartners)) {
-    const common::Duration interval = large_ ? peer->pace : settings_.heartbeat_interval;
+    const common::Duration interval = large_deployment_ ? peer->pace : settings_.heartbeat_interval;
     const bool due_soon = now + interval / 2 >= peer->next_heartbeat;
     if (due_soon && peers_.Alive(*peer, now)) {
       peer->next_heartbeat = now;
--- a/src/proxy/proxy_regions.cc
+++ b/src/proxy/proxy_regions.cc
@@ -19,7 +19,7 @@
                                     {"limited", regions_.active() ? "true" : "false"}});
   }
   // Also without a change of regions: a key may have another tenant now.
-  relay_.RegionsChanged(now);
+  session_relay_.RegionsChanged(now);
 }
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/proxy_stop.cc
+++ b/src/proxy/proxy_stop.cc
@@ -23,15 +23,15 @@
   }
   stopping_since_ = now;
   outbox_.Log("stopping", {{"sessions", std::to_string(dispatcher_.SessionCount())}});
-  JudgeReadiness(now);
-  SendHeartbeats(Receivers::kPartners, TellsAll(), now);
+  UpdateReadiness(now);
+  SendHeartbeats(Receivers::kPartners, ReportsAllGroups(), now);
 }
 
 common::Instant Proxy::TransactionsUntil() const {
   return *stopping_since_ + settings_.stop_grace / kTransactionShare;
 }
 
-bool Proxy::TooLateForSessions(common::Instant now) const {
+bool Proxy::IsTooLateForSessions(common::Instant now) const {
   // Each that is accepted has its whole time for a first command.
   return stopping_since_ && now >= TransactionsUntil() - relay::FIRST_COMMAND_TIME;
 }
@@ -61,18 +61,18 @@
   if (now >= notice_until) {
     dispatcher_.StartClosing();
     dispatcher_.CloseResting(now >= transactions_until, now);
-    relay_.Sessions().start_closing(now);
+    session_relay_.Sessions().start_closing(now);
     if (now >= transactions_until) {
-      relay_.Sessions().close_idle(now);
+      session_relay_.Sessions().close_idle(now);
     }
   }
-  const std::size_t sessions = dispatcher_.SessionCount() + relay_.SessionCount();
+  const std::size_t sessions = dispatcher_.SessionCount() + session_relay_.SessionCount();
   const bool done = now >= transactions_until && sessions == 0;
   if (done || now >= exit_at) {
     exited_ = true;
     outbox_.Log("stopped", {{"sessions_left", std::to_string(sessions)}});
     dispatcher_.EndAll(now);
-    relay_.Sessions().close_all();
+    session_relay_.Sessions().close_all();
     outbox_.Emit(Exit{});
   }
 }
--- a/src/proxy/proxy_tenants.cc
+++ b/src/proxy/proxy_tenants.cc
@@ -6,7 +6,9 @@
 
 namespace valvekeel::proxy {
 
-bool Proxy::Admits() const { return roles_.known() && (roles_.watches_any() || serves_guests_); }
+bool Proxy::Admits() const {
+  return roles_.known() && (roles_.watches_any() || serves_unowned_services_);
+}
 
 bool Proxy::AllocatesRates() const {
   return settings_.tenants.rates_limited && store_lease_.IsReader();
@@ -16,7 +18,7 @@
   if (!settings_.tenants.rates_limited || !roles_.known()) {
     return;
   }
-  admission_.limiter().set_sharing(roles_.meshed() ? SharingDaemons(now)
+  admission_.limiter().set_sharing(roles_.meshed() ? CountSharingDaemons(now)
                                                    : roles_.watchers().size());
   if (roles_.coordinates()) {
     allocator_.note_usage(settings_.name, settings_.incarnation,
@@ -30,8 +32,9 @@
   rates_changed_ = admission_.limiter().take_surge() || rates_changed_;
 }
 
-void Proxy::TakeTenants(const Peer& peer, const PeerMessage& message,
-                        const std::optional<common::Instant>& counted_from, common::Instant now) {
+void Proxy::ApplyTenantState(const Peer& peer, const PeerMessage& message,
+                             const std::optional<common::Instant>& counted_from,
+                             common::Instant now) {
   if (counted_from && message.proof_age) {
     admission_.proof().note({message.proven_version, *counted_from - *message.proof_age});
   }
@@ -46,7 +49,7 @@
   }
 }
 
-void Proxy::TellTenants(Peer& peer, PeerMessage& message, common::Instant now) const {
+void Proxy::AddTenantState(Peer& peer, PeerMessage& message, common::Instant now) const {
   const auto proof = admission_.proof().newest();
   if (admission_.proof().required() && proof) {
     message.proven_version = proof->version;
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -34,7 +34,7 @@
   }
 }
 
-void Proxy::NoteWarmUps(const CatalogUpdate& update, common::Instant now) {
+void Proxy::RecordWarmUpEntries(const CatalogUpdate& update, common::Instant now) {
   if (!warm_up_.enabled()) {
     return;
   }
@@ -46,12 +46,12 @@
   }
 }
 
-warm_up::hearing Proxy::HeardDaemons(common::Instant now) const {
+warm_up::hearing Proxy::CountReachableDaemons(common::Instant now) const {
   warm_up::hearing heard;
   heard.alive = LiveMembers(now).size();
   heard.listed = catalog_.Daemons().size();
-  heard.lately =
-      large_ ? view_.live_within(kHeardLately, now) : peers_.HeardWithin(kHeardLately, now) + 1;
+  heard.lately = large_deployment_ ? membership_.live_within(kHeardLately, now)
+                                   : peers_.HeardWithin(kHeardLately, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.Alive(peer, now)) {
       ++heard.direct;
@@ -77,7 +77,7 @@
       senders[name] = all_send ? live : roles_.owners(name);
     }
   }
-  warm_up_.role().update(senders, HeardDaemons(now), now);
+  warm_up_.role().update(senders, CountReachableDaemons(now), now);
 }
 
 void Proxy::AdvanceWarmUps(common::Instant now) {
@@ -106,11 +106,11 @@
       outbox_.Log("instance_cold", {{"instance", id},
                                     {"service", entry.service},
                                     {"known_by", warm_up::source_name(state->source)},
-                                    {"left_ms", Milliseconds(state->until - now)}});
+                                    {"left_ms", MillisecondsText(state->until - now)}});
     } else if (!state && since != cold_since_.end()) {
       outbox_.Log("instance_warm", {{"instance", id},
                                     {"service", entry.service},
-                                    {"after_ms", Milliseconds(now - since->second)}});
+                                    {"after_ms", MillisecondsText(now - since->second)}});
       cold_since_.erase(since);
     }
   }
--- a/src/proxy/read_placement.cc
+++ b/src/proxy/read_placement.cc
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-std::optional<ReadPlacement::Requirement> ReadPlacement::Required(const GroupState& group,
-                                                                  const ReadNeed& need,
-                                                                  common::Instant now) {
+std::optional<ReadPlacement::Requirement> ReadPlacement::FindRequirement(const GroupState& group,
+                                                                         const ReadParameters& need,
+                                                                         common::Instant now) {
   const common::Instant covered = need.arrived - need.max_staleness + kStalenessMargin;
   const auto bound = group.history.Covering(covered);
   if (!bound || need.consistency == model::Consistency::kPrimary) {
@@ -44,7 +44,7 @@
   return Requirement{own, now - need.own_commit_at, true};
 }
 
-bool ReadPlacement::TakesWork(const Backend& backend, common::Instant now) const {
+bool ReadPlacement::AcceptsWork(const Backend& backend, common::Instant now) const {
   const common::Duration usable =
       settings_.drain_limit - std::min(kDrainMargin, settings_.drain_limit);
   const bool leaves = backend.draining_since || backend.gone_since;
@@ -54,7 +54,7 @@
   return !left && !backend.Unreachable() && !backend.Silent(now);
 }
 
-double ReadPlacement::WayCost(const std::string& zone) const {
+double ReadPlacement::NetworkCost(const std::string& zone) const {
   if (zone == settings_.zone) {
     return 0;
   }
@@ -67,18 +67,18 @@
   const double slots = std::max<double>(1, backend.Entry().slots);
   const auto busy = static_cast<double>(backend.Busy());
   double cost = backend.LatencyUs() * (1 + busy / slots);
-  cost += WayCost(backend.Entry().zone);
+  cost += NetworkCost(backend.Entry().zone);
   if (now < backend.AvoidUntil()) {
     cost += kCrowdedUs;
   }
   return cost;
 }
 
-std::optional<Placement> ReadPlacement::PlaceAt(const Backend& backend, bool primary,
-                                                const GroupState& group,
-                                                const std::optional<Requirement>& required,
-                                                common::Instant now) const {
-  if (!TakesWork(backend, now) || (!primary && !required)) {
+std::optional<Placement> ReadPlacement::PlacementOn(const Backend& backend, bool primary,
+                                                    const GroupState& group,
+                                                    const std::optional<Requirement>& required,
+                                                    common::Instant now) const {
+  if (!AcceptsWork(backend, now) || (!primary && !required)) {
     return std::nullopt;
   }
   Placement placement;
@@ -93,7 +93,7 @@
   }
   placement.required = required->position;
   placement.age = required->age;
-  placement.own = required->own;
+  placement.is_own_commit = required->is_own_commit;
   placement.cost_us += backend.ExpectedFresh(required->age, now) ? 0 : kLaggingUs;
   return placement;
 }
@@ -101,9 +101,10 @@
 std::vector<Placement> ReadPlacement::Candidates(const GroupState& group,
                                                  const std::string& usable_primary,
                                                  const std::vector<std::string>& members,
-                                                 const ReadNeed& need, const access::work& work,
+                                                 const ReadParameters& need,
+                                                 const access::work& work,
                                                  common::Instant now) const {
-  const std::optional<Requirement> required = Required(group, need, now);
+  const std::optional<Requirement> required = FindRequirement(group, need, now);
   std::vector<Placement> staying;
   std::vector<Placement> overflow;
   std::vector<Placement> last;
@@ -113,7 +114,7 @@
     if (verdict >= access::verdict::later) {
       continue;
     }
-    auto placement = PlaceAt(backend, id == usable_primary, group, required, now);
+    auto placement = PlacementOn(backend, id == usable_primary, group, required, now);
     if (!placement) {
       continue;
     }
--- a/src/proxy/read_placement.h
+++ b/src/proxy/read_placement.h
@@ -22,11 +22,11 @@
   std::string instance;
   std::optional<common::Position> required;  // that the instance must hold
   common::Duration age{0};                   // of the newest commit that must be there
-  bool own = false;                          // that commit is the session's own
+  bool is_own_commit = false;                // that commit is the session's own
   double cost_us = 0;                        // expected time and price, for ordering
 };
 
-struct ReadNeed {
+struct ReadParameters {
   model::Consistency consistency = model::Consistency::kPrimary;
   common::Duration max_staleness{0};
   common::Instant arrived{0};
@@ -43,31 +43,34 @@
   /// @param usable_primary empty if there is none now. @return places in order of cost; behind
   /// them those that take only what the others have no room for.
   std::vector<Placement> Candidates(const GroupState& group, const std::string& usable_primary,
-                                    const std::vector<std::string>& members, const ReadNeed& need,
-                                    const access::work& work, common::Instant now) const;
+                                    const std::vector<std::string>& members,
+                                    const ReadParameters& need, const access::work& work,
+                                    common::Instant now) const;
 
   /// What a replica must hold for a read.
   struct Requirement {
     common::Position position;
-    common::Duration age{0};  // since the newest commit that it covers was acknowledged
-    bool own = false;         // it is the session's own commit
+    common::Duration age{0};     // since the newest commit that it covers was acknowledged
+    bool is_own_commit = false;  // it is the session's own commit
   };
 
   /// @return the requirement, or nothing if none is known: then only the primary will do.
-  static std::optional<Requirement> Required(const GroupState& group, const ReadNeed& need,
-                                             common::Instant now);
+  static std::optional<Requirement> FindRequirement(const GroupState& group,
+                                                    const ReadParameters& need,
+                                                    common::Instant now);
 
   /// @return true if the instance takes new work.
-  bool TakesWork(const Backend& backend, common::Instant now) const;
+  bool AcceptsWork(const Backend& backend, common::Instant now) const;
 
  private:
   /// @return what the way to a zone adds to the cost.
-  double WayCost(const std::string& zone) const;
+  double NetworkCost(const std::string& zone) const;
   double Cost(const Backend& backend, common::Instant now) const;
   /// @return the place, without regard to the access rules; nothing if the read can't run there.
-  std::optional<Placement> PlaceAt(const Backend& backend, bool primary, const GroupState& group,
-                                   const std::optional<Requirement>& required,
-                                   common::Instant now) const;
+  std::optional<Placement> PlacementOn(const Backend& backend, bool primary,
+                                       const GroupState& group,
+                                       const std::optional<Requirement>& required,
+                                       common::Instant now) const;
 
   const ProxySettings& settings_;
   const BackendSet& backends_;
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -24,7 +24,7 @@
     : zone_(settings.zone),
       roles_(roles),
       peers_(peers),
-      view_(view),
+      membership_(view),
       admission_(admission),
       regions_(regions),
       dispatcher_(dispatcher),
@@ -39,7 +39,7 @@
   return route == configuration_->routes.end() ? "" : route->second.service;
 }
 
-bool SessionRelay::BelongsElsewhere(const std::string& database) const {
+bool SessionRelay::IsOwnedElsewhere(const std::string& database) const {
   const std::string service = ServiceOf(database);
   return !service.empty() && !roles_.owns(service);
 }
@@ -56,40 +56,44 @@
                                   const tenants::key_digest& key, const SessionOrigin& origin,
                                   common::Instant now) {
   const std::uint64_t version = configuration_ == nullptr ? 0 : configuration_->version;
-  if (origin.handed_over && version < origin.least_configuration) {
-    started_[session] = {database, key, origin.least_configuration, now, origin.takes_goodbye};
+  if (origin.handed_over && version < origin.required_configuration) {
+    awaiting_configuration_[session] = {database, key, origin.required_configuration, now,
+                                        origin.accepts_end_request};
     return;
   }
   if (origin.handed_over) {
-    Take(session, {database, key, origin.least_configuration, now, origin.takes_goodbye}, now);
+    ServeOrDecline(session,
+                   {database, key, origin.required_configuration, now, origin.accepts_end_request},
+                   now);
     return;
   }
-  if (BelongsElsewhere(database)) {
+  if (IsOwnedElsewhere(database)) {
     if (!regions_.allows_anywhere(database, admission_.tenant_of(key))) {
-      RefuseOutside(session, database);
+      RefuseOutsideRegions(session, database);
       return;
     }
-    relayed_[session] = {database, key, 0, now};
+    relayed_starts_[session] = {database, key, 0, now};
     sessions_.start(session, ServiceOf(database), admission_.tenant_of(key), now);
     return;
   }
   dispatcher_.SessionStarted(session, database, key, now);
 }
 
-void SessionRelay::RefuseOutside(SessionNumber session, const std::string& database) {
+void SessionRelay::RefuseOutsideRegions(SessionNumber session, const std::string& database) {
   outbox_.Log("session_refused",
               {{"database", database},
                {"reason", regions::OUTSIDE_REGIONS},
                {"version", std::to_string(configuration_->version)}},
               LogLevel::kWarning);
-  ++refused_outside_;
+  ++refused_outside_regions_;
   outbox_.Emit(CloseSession{
       session, true, model::ErrorCode::kBusy,
-      "retry_after_ms=" + Milliseconds(regions::COME_BACK) + " " + regions::OUTSIDE_REGIONS});
+      "retry_after_ms=" + MillisecondsText(regions::COME_BACK) + " " + regions::OUTSIDE_REGIONS});
 }
 
-void SessionRelay::Take(SessionNumber session, const Start& start, common::Instant now) {
-  const bool outside = !MayHold(start.database, start.key, zone_);
+void SessionRelay::ServeOrDecline(SessionNumber session, const StartRequest& start,
+                                  common::Instant now) {
+  const bool outside = !MayProcessIn(start.database, start.key, zone_);
   if (outside) {
     outbox_.Log("relayed_session_declined",
                 {{"session", std::to_string(session)}, {"reason", regions::OUTSIDE_REGIONS}},
@@ -100,20 +104,20 @@
     return;
   }
   dispatcher_.SessionStarted(session, start.database, start.key, now);
-  dispatcher_.NoteHandedOver(session, start.takes_goodbye);
+  dispatcher_.NoteHandedOver(session, start.accepts_end_request);
   for (const CallerCommand& command : start.commands) {
     dispatcher_.CommandReceived(session, command, now);
   }
 }
 
-bool SessionRelay::MayHold(const std::string& database, const tenants::key_digest& key,
-                           const std::string& zone) const {
+bool SessionRelay::MayProcessIn(const std::string& database, const tenants::key_digest& key,
+                                const std::string& zone) const {
   return !regions_.active() || regions_.allows(database, admission_.tenant_of(key), zone);
 }
 
 bool SessionRelay::may_hold(relay::session_number session, const std::string& zone) const {
-  const Start& start = relayed_.at(session);
-  return MayHold(start.database, start.key, zone);
+  const StartRequest& start = relayed_starts_.at(session);
+  return MayProcessIn(start.database, start.key, zone);
 }
 
 void SessionRelay::RegionsChanged(common::Instant now) {
@@ -121,31 +125,31 @@
   if (moving > 0) {
     outbox_.Log("relayed_sessions_moving", {{"sessions", std::to_string(moving)}});
   }
-  outside_since_ = outside_since_.value_or(now);
-  EndOutside(now);
+  outside_regions_since_ = outside_regions_since_.value_or(now);
+  EndSessionsOutsideRegions(now);
 }
 
-void SessionRelay::EndOutside(common::Instant now) {
-  if (!outside_since_) {
+void SessionRelay::EndSessionsOutsideRegions(common::Instant now) {
+  if (!outside_regions_since_) {
     return;
   }
-  const common::Duration since = now - *outside_since_;
+  const common::Duration since = now - *outside_regions_since_;
   // Until then the daemon that handed them over ends them: the next command of a session that rests
   // here may be on the link.
   const EndWhen when = since >= relay::MOVE_DEADLINE ? EndWhen::kAtOnce
                        : since >= relay::MOVE_LIMIT  ? EndWhen::kAnswered
                                                      : EndWhen::kLater;
   const auto outside = [this](const CallerSession& session) {
-    return session.handed_over && !MayHold(session.database, session.key, zone_);
+    return session.handed_over && !MayProcessIn(session.database, session.key, zone_);
   };
   if (dispatcher_.EndSessions(outside, when, regions::OUTSIDE_REGIONS, now) == 0) {
-    outside_since_.reset();
+    outside_regions_since_.reset();
   }
 }
 
-bool SessionRelay::KeepCommand(SessionNumber session, const CallerCommand& command) {
-  const auto found = started_.find(session);
-  if (found == started_.end()) {
+bool SessionRelay::QueueCommand(SessionNumber session, const CallerCommand& command) {
+  const auto found = awaiting_configuration_.find(session);
+  if (found == awaiting_configuration_.end()) {
     return false;
   }
   found->second.commands.push_back(command);
@@ -153,8 +157,8 @@
 }
 
 void SessionRelay::SessionClosed(SessionNumber session) {
-  started_.erase(session);
-  relayed_.erase(session);
+  awaiting_configuration_.erase(session);
+  relayed_starts_.erase(session);
   sessions_.caller_closed(session);
 }
 
@@ -162,23 +166,23 @@
                                     common::Instant now) {
   configuration_ = configuration;
   std::vector<SessionNumber> ready;
-  for (const auto& [session, start] : started_) {
-    if (configuration_->version >= start.least_configuration) {
+  for (const auto& [session, start] : awaiting_configuration_) {
+    if (configuration_->version >= start.required_configuration) {
       ready.push_back(session);
     }
   }
   for (const SessionNumber session : ready) {
-    const Start start = started_.at(session);
-    started_.erase(session);
-    Take(session, start, now);
+    const StartRequest start = awaiting_configuration_.at(session);
+    awaiting_configuration_.erase(session);
+    ServeOrDecline(session, start, now);
   }
 }
 
 void SessionRelay::Tick(common::Instant now) {
   sessions_.tick(now);
-  EndOutside(now);
+  EndSessionsOutsideRegions(now);
   std::vector<SessionNumber> late;
-  for (const auto& [session, start] : started_) {
+  for (const auto& [session, start] : awaiting_configuration_) {
     if (now >= start.arrived + kConfigurationLimit) {
       late.push_back(session);
     }
@@ -187,14 +191,15 @@
     outbox_.Log("relayed_session_declined",
                 {{"session", std::to_string(session)},
                  {"reason", "configuration not in force"},
-                 {"needed_version", std::to_string(started_.at(session).least_configuration)}},
+                 {"needed_version",
+                  std::to_string(awaiting_configuration_.at(session).required_configuration)}},
                 LogLevel::kWarning);
-    started_.erase(session);
+    awaiting_configuration_.erase(session);
     outbox_.Emit(CloseSession{session});
   }
 }
 
-bool SessionRelay::HeardLately(const std::string& daemon, common::Instant now) const {
+bool SessionRelay::HasRecentHeartbeat(const std::string& daemon, common::Instant now) const {
   const Peer* peer = peers_.ByName(daemon);
   if (peer == nullptr || !peer->heard) {
     return false;
@@ -206,20 +211,20 @@
 
 bool SessionRelay::alive(const std::string& daemon, common::Instant now) const {
   // In a large deployment hubs hear the owners for all.
-  return view_.find(daemon) != nullptr || HeardLately(daemon, now);
+  return membership_.find(daemon) != nullptr || HasRecentHeartbeat(daemon, now);
 }
 
 bool SessionRelay::stays(const std::string& daemon, common::Instant now) const {
-  const membership::member* member = view_.find(daemon);
+  const membership::member* member = membership_.find(daemon);
   if (member != nullptr) {
     return !member->stopping;
   }
-  return HeardLately(daemon, now) && !peers_.ByName(daemon)->last.stopping;
+  return HasRecentHeartbeat(daemon, now) && !peers_.ByName(daemon)->last.stopping;
 }
 
 void SessionRelay::open_link(relay::session_number session, const std::string& owner) {
   const std::uint64_t version = configuration_ == nullptr ? 0 : configuration_->version;
-  const membership::member* member = view_.find(owner);
+  const membership::member* member = membership_.find(owner);
   const common::Endpoint& address =
       member != nullptr ? member->address : peers_.ByName(owner)->address;
   outbox_.Emit(RelaySession{session, address, version});
@@ -228,8 +233,8 @@
 void SessionRelay::close_link(relay::session_number session) { outbox_.Emit(CloseRelay{session}); }
 
 void SessionRelay::serve_here(relay::session_number session, common::Instant now) {
-  const Start start = relayed_.at(session);
-  relayed_.erase(session);
+  const StartRequest start = relayed_starts_.at(session);
+  relayed_starts_.erase(session);
   dispatcher_.SessionStarted(session, start.database, start.key, now);
 }
 
@@ -245,12 +250,12 @@
 
 void SessionRelay::refuse(relay::session_number session, model::ErrorCode error,
                           const std::string& text) {
-  relayed_.erase(session);
+  relayed_starts_.erase(session);
   outbox_.Emit(CloseSession{session, true, error, text});
 }
 
 void SessionRelay::end_caller(relay::session_number session) {
-  relayed_.erase(session);
+  relayed_starts_.erase(session);
   outbox_.Emit(CloseSession{session});
 }
 
@@ -269,7 +274,7 @@
                {"unanswered", std::to_string(note.unanswered)},
                {"told", note.is_told ? "true" : "false"},
                {"in_transaction", note.in_transaction ? "true" : "false"},
-               {"waited_ms", Milliseconds(note.waited)}},
+               {"waited_ms", MillisecondsText(note.waited)}},
               LogLevel::kWarning);
 }
 
--- a/src/proxy/session_relay.h
+++ b/src/proxy/session_relay.h
@@ -26,10 +26,10 @@
 
 /// Where a session comes from.
 struct SessionOrigin {
-  bool handed_over = false;               // by another daemon
-  common::Endpoint daemon;                // which
-  std::uint64_t least_configuration = 0;  // version that must be in force
-  bool takes_goodbye = false;             // the daemon ends it as it rests if asked to
+  bool handed_over = false;                  // by another daemon
+  common::Endpoint daemon;                   // which
+  std::uint64_t required_configuration = 0;  // version that must be in force
+  bool accepts_end_request = false;          // the daemon ends it as it rests if asked to
 };
 
 class SessionRelay : public relay::relay_port {
@@ -50,7 +50,7 @@
 
   /// Keeps a command of a session that waits for a configuration. @return false if it does not
   /// wait.
-  bool KeepCommand(SessionNumber session, const CallerCommand& command);
+  bool QueueCommand(SessionNumber session, const CallerCommand& command);
 
   /// @return true if another daemon serves the session.
   bool Relays(SessionNumber session) const { return sessions_.contains(session); }
@@ -58,11 +58,11 @@
   relay::relayed_sessions& Sessions() { return sessions_; }
   const relay::relayed_sessions& Sessions() const { return sessions_; }
   /// @return how many sessions were refused because no region may run them.
-  std::uint64_t RefusedOutside() const { return refused_outside_; }
-  std::size_t SessionCount() const { return sessions_.size() + started_.size(); }
+  std::uint64_t RefusedOutsideRegions() const { return refused_outside_regions_; }
+  std::size_t SessionCount() const { return sessions_.size() + awaiting_configuration_.size(); }
 
   /// @return true if a session that was handed over waits for a later configuration.
-  bool AwaitsConfiguration() const { return !started_.empty(); }
+  bool AwaitsConfiguration() const { return !awaiting_configuration_.empty(); }
 
   void Tick(common::Instant now);
 
@@ -82,26 +82,26 @@
 
  private:
   /// A session's first message.
-  struct Start {
+  struct StartRequest {
     std::string database;
-    tenants::key_digest key;                // by which the caller is known
-    std::uint64_t least_configuration = 0;  // waits for this version
+    tenants::key_digest key;                   // by which the caller is known
+    std::uint64_t required_configuration = 0;  // waits for this version
     common::Instant arrived{0};
-    bool takes_goodbye = false;             // the daemon that handed it over
+    bool accepts_end_request = false;       // the daemon that handed it over
     std::vector<CallerCommand> commands{};  // that came before it was taken
   };
 
   /// Refuses a session whose work may run in no region, before it asks any daemon for anything.
-  void RefuseOutside(SessionNumber session, const std::string& database);
+  void RefuseOutsideRegions(SessionNumber session, const std::string& database);
   /// Serves a session that was handed over, or declines it.
-  void Take(SessionNumber session, const Start& start, common::Instant now);
+  void ServeOrDecline(SessionNumber session, const StartRequest& start, common::Instant now);
   /// @return true if daemons of the zone may hold requests of the database's callers.
-  bool MayHold(const std::string& database, const tenants::key_digest& key,
-               const std::string& zone) const;
+  bool MayProcessIn(const std::string& database, const tenants::key_digest& key,
+                    const std::string& zone) const;
   /// Ends sessions handed over whose requests may not be held here any more.
-  void EndOutside(common::Instant now);
-  bool HeardLately(const std::string& daemon, common::Instant now) const;
-  bool BelongsElsewhere(const std::string& database) const;
+  void EndSessionsOutsideRegions(common::Instant now);
+  bool HasRecentHeartbeat(const std::string& daemon, common::Instant now) const;
+  bool IsOwnedElsewhere(const std::string& database) const;
   /// @return true if callers of the database can't be admitted here for want of proof.
   bool LacksProof(const std::string& database, common::Instant now) const;
   std::string ServiceOf(const std::string& database) const;
@@ -109,18 +109,19 @@
   const std::string& zone_;  // of this daemon
   const relay::role_map& roles_;
   const PeerTable& peers_;
-  const membership::live_view& view_;
+  const membership::live_view& membership_;
   const tenants::admission& admission_;
   const regions::region_policy& regions_;
   Dispatcher& dispatcher_;
   Outbox& outbox_;
   const model::Configuration* configuration_ = nullptr;
   relay::relayed_sessions sessions_;
-  std::map<SessionNumber, Start> relayed_;  // first messages of relayed sessions
-  std::map<SessionNumber, Start> started_;  // handed over, waiting for their configuration
+  std::map<SessionNumber, StartRequest> relayed_starts_;  // first messages of relayed sessions
+  std::map<SessionNumber, StartRequest>
+      awaiting_configuration_;  // handed over, waiting for their configuration
   /// Since when sessions handed over may be here whose requests may not be held here.
-  std::optional<common::Instant> outside_since_;
-  std::uint64_t refused_outside_ = 0;
+  std::optional<common::Instant> outside_regions_since_;
+  std::uint64_t refused_outside_regions_ = 0;
 };
 
 }  // namespace valvekeel::proxy
--- a/src/proxysim/control_cost.cc
+++ b/src/proxysim/control_cost.cc
@@ -57,8 +57,8 @@
     cost.most_bytes = std::max(cost.most_bytes, bytes);
     cost.largest = std::max(cost.largest, after.largest);
     const proxy::Proxy* decisions = daemon.Decisions();
-    const bool plain =
-        decisions != nullptr && !decisions->Roles().watches_any() && !decisions->View().is_hub();
+    const bool plain = decisions != nullptr && !decisions->Roles().watches_any() &&
+                       !decisions->Membership().is_hub();
     if (plain) {
       cost.plain_messages = std::max(cost.plain_messages, sent);
       cost.plain_bytes = std::max(cost.plain_bytes, bytes);
--- a/src/proxysim/daemon_host.cc
+++ b/src/proxysim/daemon_host.cc
@@ -298,7 +298,7 @@
       surroundings.After(surroundings.Delay(), [this, life, number, reply] {
         Deliver(life, [this, number, reply] {
           if (connections_.contains(number)) {
-            proxy_->Answered(number, reply, cluster_.Surroundings().Now());
+            proxy_->InstanceAnswered(number, reply, cluster_.Surroundings().Now());
           }
         });
       });
@@ -441,7 +441,7 @@
   CallerPort port;
   port.accepted = [this, number, link] {
     FromOwner(number, link, [this, number] {
-      proxy_->RelayHeard(number, true, cluster_.Surroundings().Now());
+      proxy_->RelayDataReceived(number, true, cluster_.Surroundings().Now());
       proxy_->RelayAccepted(number, cluster_.Surroundings().Now());
       const auto caller = callers_.find(number);
       if (caller != callers_.end()) {
@@ -451,13 +451,13 @@
   };
   port.answer = [this, number, link](const model::Reply& reply) {
     FromOwner(number, link, [this, number, reply] {
-      proxy_->RelayHeard(number, true, cluster_.Surroundings().Now());
+      proxy_->RelayDataReceived(number, true, cluster_.Surroundings().Now());
       Answer(number, reply);
       proxy_->RelayAnswered(number, reply.state, cluster_.Surroundings().Now());
     });
   };
   port.asked_to_end = [this, number, link] {
-    FromOwner(number, link, [this, number] { proxy_->RelayAskedToEnd(number); });
+    FromOwner(number, link, [this, number] { proxy_->RelayEndRequested(number); });
   };
   port.closed = [this, number, link] {
     FromOwner(number, link, [this, number] {
@@ -489,7 +489,7 @@
     });
     return;
   }
-  const proxy::SessionOrigin origin{true, address_, action.least_configuration, true};
+  const proxy::SessionOrigin origin{true, address_, action.required_configuration, true};
   ToOwner(link,
           [link, origin, start = starts_[action.session], port = RelayPort(action.session, link)](
               DaemonHost& taker) { taker.TakeHandover(link.owner_session, start, origin, port); });
@@ -505,7 +505,7 @@
   ToOwner(link, [session = link.owner_session](DaemonHost& owner) { owner.CloseSession(session); });
 }
 
-void DaemonHost::Do(const proxy::AskToEnd& action) {
+void DaemonHost::Do(const proxy::RequestSessionEnd& action) {
   const auto found = callers_.find(action.session);
   if (found != callers_.end()) {
     found->second.port.asked_to_end();
@@ -561,7 +561,7 @@
       });
 }
 
-void DaemonHost::Do(const proxy::WriteDaemon& action) {
+void DaemonHost::Do(const proxy::WriteDaemonEntry& action) {
   ++traffic_.store_calls;
   const std::uint64_t life = life_;
   cluster_.Store().WriteDaemon(name_, action.entry, [this, life, call = action.call](bool written) {
@@ -581,7 +581,7 @@
                    });
 }
 
-void DaemonHost::Do(const proxy::SendPeer& action) {
+void DaemonHost::Do(const proxy::SendPeerMessage& action) {
   ++traffic_.messages;
   if (cluster_.Shape().encode_messages) {
     const std::size_t bytes = proxy::EncodePeerMessage(action.message).size();
@@ -596,7 +596,7 @@
   world.After(world.Delay(), [this, peer, action] {
     const common::Endpoint from = address_;
     peer->Deliver(peer->Life(), [this, peer, from, action] {
-      peer->Decisions()->PeerHeard(from, action.message, cluster_.Surroundings().Now());
+      peer->Decisions()->PeerMessageReceived(from, action.message, cluster_.Surroundings().Now());
     });
   });
 }
@@ -627,7 +627,7 @@
       if (configuration_only) {
         finish(proxy::CatalogCopy{peer->Decisions()->CatalogView().Configuration(), {}, {}});
       } else {
-        finish(peer->Decisions()->Catalog());
+        finish(peer->Decisions()->CopyCatalog());
       }
     });
   }
--- a/src/proxysim/daemon_host.h
+++ b/src/proxysim/daemon_host.h
@@ -142,14 +142,14 @@
   void Do(const proxy::CloseSession& action);
   void Do(const proxy::RelaySession& action);
   void Do(const proxy::CloseRelay& action);
-  void Do(const proxy::AskToEnd& action);
+  void Do(const proxy::RequestSessionEnd& action);
   void Do(const proxy::ReadCatalog& action);
   void Do(const proxy::ReadLeadership& action);
   void Do(const proxy::ReadConfiguration& action);
   void Do(const proxy::WriteLeadership& action);
-  void Do(const proxy::WriteDaemon& action);
+  void Do(const proxy::WriteDaemonEntry& action);
   void Do(const proxy::Promote& action);
-  void Do(const proxy::SendPeer& action);
+  void Do(const proxy::SendPeerMessage& action);
   void Do(const proxy::FetchCatalog& action);
   void Do(const proxy::SetReady& action);
   void Do(const proxy::Exit& action);
--- a/tests/proxy/proxy_evacuation_test.cc
+++ b/tests/proxy/proxy_evacuation_test.cc
@@ -39,7 +39,8 @@
 
   void Take() {
     for (const Action& action : proxy.TakeActions()) {
-      if (const auto* sent = std::get_if<SendPeer>(&action); sent && sent->address == kPeer) {
+      if (const auto* sent = std::get_if<SendPeerMessage>(&action);
+          sent && sent->address == kPeer) {
         told.push_back(sent->message);
       }
       if (const auto* read = std::get_if<ReadCatalog>(&action);
@@ -65,7 +66,7 @@
       message.echoed_incarnation = kIncarnation;
     }
     message.evacuations = {revision, zones, age};
-    proxy.PeerHeard(kPeer, message, now);
+    proxy.PeerMessageReceived(kPeer, message, now);
     Take();
   }
 
--- a/tests/proxy/proxy_stop_test.cc
+++ b/tests/proxy/proxy_stop_test.cc
@@ -94,7 +94,7 @@
       model::Reply reply;
       reply.succeeded = true;
       reply.status = model::InstanceStatus{true, 1, {1, 1}};
-      proxy.Answered(sent.connection, reply, now);
+      proxy.InstanceAnswered(sent.connection, reply, now);
     }
   }
 
@@ -129,7 +129,7 @@
     model::Reply reply;
     reply.succeeded = true;
     reply.state = state;
-    proxy.Answered(running.at(id), reply, now);
+    proxy.InstanceAnswered(running.at(id), reply, now);
     TakeActions();
   }
 
--- a/tests/proxy/proxy_test.cc
+++ b/tests/proxy/proxy_test.cc
@@ -34,7 +34,7 @@
 std::size_t HeartbeatsTo(const common::Endpoint& peer, const std::vector<Action>& actions) {
   return static_cast<std::size_t>(
       std::count_if(actions.begin(), actions.end(), [&](const Action& action) {
-        const auto* sent = std::get_if<SendPeer>(&action);
+        const auto* sent = std::get_if<SendPeerMessage>(&action);
         return sent != nullptr && sent->address == peer;
       }));
 }
@@ -47,11 +47,11 @@
   Proxy proxy(MakeSettings(), 1);
   proxy.Tick(kStart);
   proxy.TakeActions();
-  proxy.PeerHeard(kPeer, MessageOf(1, 1), kStart + Duration(1'000));
+  proxy.PeerMessageReceived(kPeer, MessageOf(1, 1), kStart + Duration(1'000));
   CHECK(HeartbeatsTo(kPeer, proxy.TakeActions()) == 1);
-  proxy.PeerHeard(kPeer, MessageOf(1, 2), kStart + Duration(2'000));
+  proxy.PeerMessageReceived(kPeer, MessageOf(1, 2), kStart + Duration(2'000));
   CHECK(HeartbeatsTo(kPeer, proxy.TakeActions()) == 0);
-  proxy.PeerHeard(kPeer, MessageOf(2, 1), kStart + Duration(3'000));
+  proxy.PeerMessageReceived(kPeer, MessageOf(2, 1), kStart + Duration(3'000));
   CHECK(HeartbeatsTo(kPeer, proxy.TakeActions()) == 1);
 }
 
@@ -166,7 +166,7 @@
     if (const auto* read = std::get_if<ReadCatalog>(&action)) {
       proxy.CatalogRead(read->call, {metadata::ReadStatus::kOk, {10, era}, {}}, now);
     }
-    if (const auto* write = std::get_if<WriteDaemon>(&action)) {
+    if (const auto* write = std::get_if<WriteDaemonEntry>(&action)) {
       registered = write->call;
     }
   }
--- a/tests/proxy/read_placement_test.cc
+++ b/tests/proxy/read_placement_test.cc
@@ -30,7 +30,7 @@
     backends.SetEntry(entry, kStart);
   }
 
-  std::vector<Placement> Candidates(const ReadNeed& need, Instant now) const {
+  std::vector<Placement> Candidates(const ReadParameters& need, Instant now) const {
     return placement.Candidates(group, "p", {"a", "b", "p"}, need, {route, ""}, now);
   }
 
@@ -43,7 +43,7 @@
   ReadPlacement placement{settings, backends, access};
 };
 
-ReadNeed Bounded(Instant arrived) {
+ReadParameters Bounded(Instant arrived) {
   return {Consistency::kBoundedStaleness, Duration(1'500'000), arrived, {}, Instant(0)};
 }
 
@@ -84,17 +84,18 @@
 TEST_CASE("The session's own commit is required beyond the bound", "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
-  ReadNeed need = Bounded(kStart + Duration(10'000));
+  ReadParameters need = Bounded(kStart + Duration(10'000));
   need.consistency = Consistency::kReadYourWrites;
   need.own_commit = Position{1, 45};
   need.own_commit_at = kStart + Duration(5'000);
-  const auto own = ReadPlacement::Required(fixture.group, need, kStart + Duration(10'000));
+  const auto own = ReadPlacement::FindRequirement(fixture.group, need, kStart + Duration(10'000));
   REQUIRE(own);
   CHECK(own->position == Position{1, 45});
-  CHECK(own->own);
+  CHECK(own->is_own_commit);
   // A later sample covers the commit, also if its own position was rolled back in between.
   fixture.group.history.Add({kStart + Duration(6'000), Position{1, 43}});
-  const auto covered = ReadPlacement::Required(fixture.group, need, kStart + Duration(10'000));
+  const auto covered =
+      ReadPlacement::FindRequirement(fixture.group, need, kStart + Duration(10'000));
   REQUIRE(covered);
   CHECK(covered->position == Position{1, 43});
 }
--- a/tests/proxy/session_relay_test.cc
+++ b/tests/proxy/session_relay_test.cc
@@ -95,7 +95,7 @@
   const auto relayed = fixture.Taken<RelaySession>();
   REQUIRE(relayed);
   CHECK(relayed->owner.host == RelayFixture::Owner());
-  CHECK(relayed->least_configuration == 5);
+  CHECK(relayed->required_configuration == 5);
   CHECK(fixture.relay->Relays(kSession));
 }
 
@@ -218,7 +218,7 @@
   std::vector<SessionNumber> closed;
   const auto take = [&] {
     for (const Action& action : fixture.outbox.Take()) {
-      if (const auto* ask = std::get_if<AskToEnd>(&action)) {
+      if (const auto* ask = std::get_if<RequestSessionEnd>(&action)) {
         asked.push_back(ask->session);
       } else if (const auto* close = std::get_if<CloseSession>(&action)) {
         closed.push_back(close->session);
@@ -257,7 +257,7 @@
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5, true}, kStart);
   const Instant later = kStart + relay::FIRST_COMMAND_TIME;
   fixture.dispatcher.EndResting("group", false, later);
-  CHECK(fixture.Taken<AskToEnd>());
+  CHECK(fixture.Taken<RequestSessionEnd>());
   fixture.dispatcher.EndResting("group", false, later + 2 * kLong - Duration(1));
   CHECK(fixture.dispatcher.SessionCount() == 1);
   fixture.dispatcher.EndResting("group", false, later + 2 * kLong);
@@ -372,7 +372,7 @@
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 6}, kStart);
   model::Command set;
   set.kind = model::CommandKind::kSet;
-  CHECK(fixture.relay->KeepCommand(kSession, {"r1", set}));
+  CHECK(fixture.relay->QueueCommand(kSession, {"r1", set}));
   const model::Configuration after = ConfigurationOf(6);
   fixture.Configure(after);
   CHECK(fixture.Taken<AnswerCaller>());
--- a/tests/proxysim/configuration_spread_test.cc
+++ b/tests/proxysim/configuration_spread_test.cc
@@ -69,7 +69,7 @@
   for (const auto& daemon : cluster.Daemons()) {
     const auto& roles = daemon->Decisions()->Roles();
     const bool looks = roles.coordinates() || roles.is_deputy();
-    if (looks || daemon->Decisions()->View().is_hub()) {
+    if (looks || daemon->Decisions()->Membership().is_hub()) {
       world.CutBoth(daemon->Name(), kStore);
     }
   }
