--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -10,41 +10,41 @@
 constexpr common::Duration kFetchPause{300'000};
 /// The same in a large deployment of a whole catalog, 0.9 MB at 1,000 groups: each of 50 owners may
 /// ask.
-constexpr common::Duration kWholeFetchPause{2'000'000};
+constexpr common::Duration kFullFetchPause{2'000'000};
 /// Time for the store to answer before another daemon is asked for the catalog.
 constexpr common::Duration kFetchAfter{400'000};
 /// The same at a first start, when no daemon has anything yet.
 constexpr common::Duration kFirstFetchAfter{3'000'000};
 /// In a large deployment, time from the start until a service may do without owners: by then all
 /// others are known, of whom only some are at first.
-constexpr common::Duration kDirectAfter{10'000'000};
+constexpr common::Duration kMayServeDirectlyAfter{10'000'000};
 /// Over which daemons spread that read the configuration from the store by themselves.
-constexpr common::Duration kOwnReadSpread{6'000'000};
+constexpr common::Duration kDirectReadSpread{6'000'000};
 /// At a first start, time after which it is known whether the deployment is large: all daemons
 /// start within 0.3 s and write to the seeds at once.
-constexpr common::Duration kSizeKnown{800'000};
+constexpr common::Duration kDeploymentSizeKnownAfter{800'000};
 /// Time between ticks of a daemon that serves no session, connects to no instance and heads
 /// nothing. What it does then, relaying sessions and telling of itself, has limits of 400 ms and
 /// more.
-constexpr common::Duration kQuietTick{40'000};
+constexpr common::Duration kIdleTick{40'000};
 /// Peers heard within this time share an instance's connections.
 constexpr common::Duration kSharingAge{8'000'000};
 /// Time between two ticks after which this daemon takes itself to have stood still.
-constexpr common::Duration kStandstill{300'000};
+constexpr common::Duration kStallThreshold{300'000};
 /// How often the roles are worked out again.
 constexpr common::Duration kRolesInterval{100'000};
 /// After the start, time in which a daemon that is listed counts as live although it was not heard.
-constexpr common::Duration kGreetingTime{2'000'000};
+constexpr common::Duration kFirstHeartbeatTime{2'000'000};
 /// Connections to an instance that may be opening at once. A handshake holds a slot for 12 to 32
 /// ms: where many daemons share an instance, statements that wait must not make each open all that
 /// it may. Seen on the large site: 55,000 connections over the limit, and nothing served for 4 s.
-constexpr std::size_t kOpeningMeshed = 1'000;
-constexpr std::size_t kOpeningOwner = 1;
+constexpr std::size_t kMostOpeningMeshed = 1'000;
+constexpr std::size_t kMostOpeningOwner = 1;
 /// The same as relay::GUEST_TIME for sessions that daemons handed over which can't be asked to end
 /// them: their views of who lives follow within 2.5 s (a zone whose hubs fall silent), their roles
 /// 0.1 s later, and they end the sessions 1 s after that. A command may be on the link to a session
 /// that rests here: 58 to 103 a day of planned stops were cut off so, most within 4 ms.
-constexpr common::Duration kHandedOverGuestTime{5'000'000};
+constexpr common::Duration kHandedOverSessionGrace{5'000'000};
 
 }  // namespace
 
@@ -72,7 +72,7 @@
       session_relay_(settings_, roles_, peers_, membership_, admission_, regions_, dispatcher_,
                      outbox_),
       random_(seed),
-      direct_read_delay_(JitterUpTo(kOwnReadSpread)) {
+      direct_read_delay_(JitterUpTo(kDirectReadSpread)) {
   access_.add(region_rule_);
   backends_.SetObserver(&dispatcher_);
   if (EvacuationsEnabled()) {
@@ -195,13 +195,13 @@
   if (catalog_.Era() == applied_era_) {
     return;
   }
-  const bool returned = applied_era_ != 0;
+  const bool era_changed = applied_era_ != 0;
   applied_era_ = catalog_.Era();
   failover_.BeginEra(applied_era_, now);
-  if (returned || !settings_.first_start) {
+  if (era_changed || !settings_.first_start) {
     groups_.BeginEra(now);
   }
-  if (returned) {
+  if (era_changed) {
     // This daemon's entry may be gone, and a promoter waits only for the leases of who is listed.
     registered_ = false;
     registration_call_.reset();
@@ -256,10 +256,10 @@
   ApplyMembershipMessage(from, message, now);
   ApplyTenantState(peer->second, message, counted_from, now);
   ApplyEvacuations(message, counted_from, now);
-  const bool has_news = large_deployment_ ? membership_.is_hub() || roles_.coordinates()
-                                          : roles_.meshed() || roles_.watches_any();
-  const bool introduces = large_deployment_ && IsHubListDue(peer->second, now);
-  if ((!was_alive && has_news) || introduces) {
+  const bool has_updates = large_deployment_ ? membership_.is_hub() || roles_.coordinates()
+                                             : roles_.meshed() || roles_.watches_any();
+  const bool sends_hub_list = large_deployment_ && IsHubListDue(peer->second, now);
+  if ((!was_alive && has_updates) || sends_hub_list) {
     // A daemon that has just come learns at once what it can't know by itself yet.
     SendHeartbeat(peer->second, MakeHeartbeat(true, now), now);
   }
@@ -337,10 +337,10 @@
 }
 
 std::size_t Proxy::CountSharingDaemons(common::Instant now) const {
-  const std::size_t heard = large_deployment_ ? membership_.live_within(kSharingAge, now)
-                                              : peers_.HeardWithin(kSharingAge, now) + 1;
-  const bool new_here = started_at_ && now < *started_at_ + kSharingAge;
-  return std::max(heard, new_here ? catalog_.Daemons().size() : std::size_t{1});
+  const std::size_t sharing = large_deployment_ ? membership_.live_within(kSharingAge, now)
+                                                : peers_.HeardWithin(kSharingAge, now) + 1;
+  const bool just_started = started_at_ && now < *started_at_ + kSharingAge;
+  return std::max(sharing, just_started ? catalog_.Daemons().size() : std::size_t{1});
 }
 
 std::vector<relay::member> Proxy::LiveMembers(common::Instant now) const {
@@ -361,18 +361,18 @@
   if (!stopping_since_) {
     members.push_back({settings_.name, settings_.zone, catalog_.Connected(), settings_.capacity});
   }
-  std::set<std::string> heard;
+  std::set<std::string> reported;
   for (const auto& [address, peer] : peers_.All()) {
     if (peer.heard) {
-      heard.insert(peer.name);
+      reported.insert(peer.name);
     }
     if (peers_.Alive(peer, now) && !peer.last.stopping) {
       members.push_back({peer.name, peer.last.zone, peer.last.store_connected, peer.last.capacity});
     }
   }
-  const bool greeting = started_at_ && now < *started_at_ + kGreetingTime;
+  const bool awaits_first_heartbeats = started_at_ && now < *started_at_ + kFirstHeartbeatTime;
   for (const auto& [name, daemon] : catalog_.Daemons()) {
-    if (greeting && name != settings_.name && !heard.contains(name)) {
+    if (awaits_first_heartbeats && name != settings_.name && !reported.contains(name)) {
       members.push_back({name, daemon.zone, false, daemon.capacity});
     }
   }
@@ -390,16 +390,17 @@
     }
   }
   // Without a word of the others this daemon would take all connections for its own.
-  const bool greeted = now >= *started_at_ + kGreetingTime;
-  const bool others_known = greeted || (catalog_.DaemonsKnown() && !settings_.first_start);
+  const bool first_heartbeats_over = now >= *started_at_ + kFirstHeartbeatTime;
+  const bool others_known =
+      first_heartbeats_over || (catalog_.DaemonsKnown() && !settings_.first_start);
   if (others_known) {
-    const bool may_be_direct = !large_deployment_ || now >= *started_at_ + kDirectAfter;
+    const bool may_be_direct = !large_deployment_ || now >= *started_at_ + kMayServeDirectlyAfter;
     const bool changed = roles_.update(LiveMembers(now), CountSharingDaemons(now),
                                        connection_limits_, may_be_direct);
     const std::set<std::string> in_use =
         roles_.meshed() ? std::set<std::string>() : dispatcher_.ServicesInUse();
     UpdateCatalogInterest(!in_use.empty(), now);
-    backends_.SetMostOpening(roles_.meshed() ? kOpeningMeshed : kOpeningOwner);
+    backends_.SetMostOpening(roles_.meshed() ? kMostOpeningMeshed : kMostOpeningOwner);
     if (changed || in_use != connection_limits_in_use_) {
       connection_limits_in_use_ = in_use;
       SetConnectionLimits(in_use);
@@ -419,9 +420,9 @@
   }
 }
 
-void Proxy::UpdateCatalogInterest(bool serves_guests, common::Instant now) {
-  serves_unowned_services_ = serves_guests;
-  const bool connects = roles_.watches_any() || serves_guests;
+void Proxy::UpdateCatalogInterest(bool serves_unowned_services, common::Instant now) {
+  serves_unowned_services_ = serves_unowned_services;
+  const bool connects = roles_.watches_any() || serves_unowned_services;
   catalog_.SetInterest({roles_.meshed(), roles_.coordinates(), store_lease_.IsReader(), connects,
                         CanSkipStoreCalls(now)});
 }
@@ -452,18 +453,18 @@
 }
 
 void Proxy::EndSessionsOfUnownedServices(const std::set<std::string>& in_use, common::Instant now) {
-  std::set<std::string> foreign;
+  std::set<std::string> unowned;
   for (const std::string& service : in_use) {
     if (!roles_.owns(service)) {
-      foreign.insert(service);
+      unowned.insert(service);
     }
   }
   std::erase_if(unowned_services_since_,
-                [&](const auto& each) { return !foreign.contains(each.first); });
-  for (const std::string& service : foreign) {
+                [&](const auto& each) { return !unowned.contains(each.first); });
+  for (const std::string& service : unowned) {
     const auto since = unowned_services_since_.try_emplace(service, now).first;
     if (now >= since->second + relay::GUEST_TIME) {
-      dispatcher_.EndResting(service, now >= since->second + kHandedOverGuestTime, now);
+      dispatcher_.EndResting(service, now >= since->second + kHandedOverSessionGrace, now);
     }
   }
 }
@@ -487,7 +488,8 @@
 bool Proxy::NeedsStoreEntry(common::Instant now) const {
   if (!large_deployment_) {
     // At a first start the others wait for this entry; it shows soon whether they are many.
-    return settings_.first_start ? now >= *started_at_ + kSizeKnown : catalog_.DaemonsListed();
+    return settings_.first_start ? now >= *started_at_ + kDeploymentSizeKnownAfter
+                                 : catalog_.DaemonsListed();
   }
   // Only who may hold a lease must be known to those who replace primaries.
   return roles_.known() &&
@@ -510,14 +512,14 @@
   const bool needed = large_deployment_
                           ? needed_in_large
                           : catalog_.Configuration().version == 0 || without_instances;
-  const common::Duration patience = settings_.first_start ? kFirstFetchAfter : kFetchAfter;
+  const common::Duration fetch_delay = settings_.first_start ? kFirstFetchAfter : kFetchAfter;
   const bool waiting = fetch_call_ || now < fetch_not_before_ || now < full_fetch_not_before_ ||
-                       now < *started_at_ + patience;
+                       now < *started_at_ + fetch_delay;
   if (!needed || waiting || settings_.seed_catalogs.empty()) {
     return;
   }
   fetch_call_ = outbox_.NextNumber();
-  full_fetch_not_before_ = now + (large_deployment_ ? kWholeFetchPause : common::Duration(0));
+  full_fetch_not_before_ = now + (large_deployment_ ? kFullFetchPause : common::Duration(0));
   const std::size_t index = next_fetch_seed_++ % settings_.seed_catalogs.size();
   outbox_.Emit(FetchCatalog{*fetch_call_, settings_.seed_catalogs[index]});
 }
@@ -561,10 +563,10 @@
 }
 
 common::Duration Proxy::TickPause() const {
-  const bool quiet = large_deployment_ && roles_.known() && !roles_.meshed() &&
-                     !roles_.watches_any() && !membership_.is_hub() && !stopping_since_ && ready_ &&
-                     dispatcher_.SessionCount() == 0;
-  return quiet ? kQuietTick : kTick;
+  const bool idle = large_deployment_ && roles_.known() && !roles_.meshed() &&
+                    !roles_.watches_any() && !membership_.is_hub() && !stopping_since_ && ready_ &&
+                    dispatcher_.SessionCount() == 0;
+  return idle ? kIdleTick : kTick;
 }
 
 void Proxy::Tick(common::Instant now) {
@@ -572,7 +574,7 @@
     started_at_ = now;
     last_tick_ = now;
   }
-  if (now >= last_tick_ + kStandstill) {
+  if (now >= last_tick_ + kStallThreshold) {
     outbox_.Log("thawed", {{"stood_still_ms", MillisecondsText(now - last_tick_)}},
                 LogLevel::kWarning);
     groups_.Thawed(now);
@@ -598,13 +600,13 @@
   session_relay_.Tick(now);
   UpdateReadiness(now);
   const bool fence = failover_.TakeUrgent();
-  const bool news = groups_.TakeNews();
+  const bool groups_changed = groups_.TakeNews();
   if (groups_.TakeConfirmed()) {
     BringHeartbeatsForward(now);
   }
   // In a large deployment most daemons know of a group only what its watchers tell.
-  const bool opinion = groups_.TakeOpinionChanged() && !roles_.meshed();
-  const bool revision =
+  const bool evaluation_changed = groups_.TakeOpinionChanged() && !roles_.meshed();
+  const bool new_configuration =
       catalog_.Revisions().configuration > sent_configuration_revision_ ||
       (membership_.is_hub() && catalog_.Configuration().version > sent_configuration_version_);
   sent_configuration_revision_ = catalog_.Revisions().configuration;
@@ -612,11 +614,12 @@
   // A new configuration is passed on at once: daemon to hub, hub to hubs, hub to its zone.
   const bool rates = std::exchange(rates_changed_, false);
   const bool evacuations = std::exchange(evacuations_changed_, false);
-  const bool urgent = news || opinion || rates || evacuations || (revision && large_deployment_);
+  const bool urgent = groups_changed || evaluation_changed || rates || evacuations ||
+                      (new_configuration && large_deployment_);
   const Receivers receivers = fence    ? Receivers::kAll
                               : urgent ? Receivers::kPartners
                                        : Receivers::kDue;
-  SendHeartbeats(receivers, ReportsAllGroups() || (news && !roles_.meshed()), now);
+  SendHeartbeats(receivers, ReportsAllGroups() || (groups_changed && !roles_.meshed()), now);
   AdvanceStop(now);
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -189,7 +189,7 @@
                               common::Instant now);
   /// @return true if the peer asks who the hubs are, and was not told a moment ago.
   static bool IsHubListDue(const Peer& peer, common::Instant now);
-  void UpdateCatalogInterest(bool serves_guests, common::Instant now);
+  void UpdateCatalogInterest(bool serves_unowned_services, common::Instant now);
   void Register(common::Instant now);
   /// @return true if this daemon should be listed in the store.
   bool NeedsStoreEntry(common::Instant now) const;
@@ -305,8 +305,8 @@
   struct NewerConfiguration {
     common::Endpoint peer;
     std::uint64_t version = 0;
-    common::Instant noted{0};
-    common::Duration spread{0};  // after which it is fetched, where many daemons do so
+    common::Instant recorded_at{0};
+    common::Duration fetch_delay{0};  // after which it is fetched, where many daemons do so
   };
   std::optional<NewerConfiguration> newer_configuration_;
   std::uint64_t newest_reported_version_ = 0;
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -64,13 +64,14 @@
 void Proxy::ApplyEvacuations(const PeerMessage& message,
                              const std::optional<common::Instant>& counted_from,
                              common::Instant now) {
-  const evacuation::view_message& told = message.evacuations;
-  if (!EvacuationsEnabled() || !counted_from || !told.age) {
+  const evacuation::view_message& received = message.evacuations;
+  if (!EvacuationsEnabled() || !counted_from || !received.age) {
     return;
   }
-  TakeEvacuations(
-      {told.revision, {told.zones.begin(), told.zones.end()}, *counted_from - *told.age},
-      message.name, now);
+  TakeEvacuations({received.revision,
+                   {received.zones.begin(), received.zones.end()},
+                   *counted_from - *received.age},
+                  message.name, now);
 }
 
 void Proxy::TakeEvacuations(const evacuation::zone_view& view, const std::string& source,
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -10,24 +10,24 @@
 
 constexpr common::Duration kDeadPeerPause{1'000'000};  // between messages to a silent peer
 /// The same to daemons that may be there, while this one knows nobody.
-constexpr common::Duration kSeekPause{200'000};
+constexpr common::Duration kDiscoveryPause{200'000};
 /// Least time between two introductions to a daemon: two that seek would answer each other for
 /// ever.
-constexpr common::Duration kIntroductionPause{150'000};
+constexpr common::Duration kHubListPause{150'000};
 /// The same in the first seconds of a life: all others may be about to come.
-constexpr common::Duration kEarlyDeadPeerPause{250'000};
-constexpr common::Duration kEarly{3'000'000};
+constexpr common::Duration kStartupDeadPeerPause{250'000};
+constexpr common::Duration kStartupTime{3'000'000};
 /// Time for which an answer of the store shows that this daemon reaches it.
-constexpr common::Duration kRecentAnswer{3'000'000};
+constexpr common::Duration kStoreAnswerValidity{3'000'000};
 /// Time for the store to tell of a configuration that another daemon has in force already.
-constexpr common::Duration kAheadPause{120'000};
+constexpr common::Duration kNewerConfigurationPause{120'000};
 /// Over which the daemons of a zone spread their fetches from its hub: 200 of 80 KB in this time
 /// are 640 Mbit/s.
 constexpr common::Duration kFetchSpread{200'000};
 /// Time without the newest configuration after which a daemon reads it from the store by itself:
 /// 985 of them at once kept its link of 1,000 Mbit/s busy with answers of 750 KB that nobody waited
 /// for any more, and none was ever ready.
-constexpr common::Duration kOwnReadAfter{4'000'000};
+constexpr common::Duration kDirectReadAfter{4'000'000};
 /// Reports of groups in one message, of about 50 bytes each, and beside lists of daemons (15 KB): a
 /// datagram takes 65,507 bytes, which the reports of 1,300 groups would fill.
 constexpr std::size_t kMostReports = 250;
@@ -75,9 +75,9 @@
   // waits only for a moment.
   const bool spreads =
       large_deployment_ && !ReadsConfiguration(now) && !session_relay_.AwaitsConfiguration();
-  const common::Duration pause =
-      spreads && newer_configuration_ ? newer_configuration_->spread : kAheadPause;
-  if (!newer_configuration_ || fetch_call_ || now < newer_configuration_->noted + pause ||
+  const common::Duration pause = spreads && newer_configuration_ ? newer_configuration_->fetch_delay
+                                                                 : kNewerConfigurationPause;
+  if (!newer_configuration_ || fetch_call_ || now < newer_configuration_->recorded_at + pause ||
       now < fetch_not_before_) {
     return;
   }
@@ -94,19 +94,20 @@
   if (roles_.known() && (roles_.coordinates() || roles_.is_deputy())) {
     return true;
   }
-  const bool lacks = missing_configuration_since_ &&
-                     now >= *missing_configuration_since_ + kOwnReadAfter + direct_read_delay_;
+  const bool outdated =
+      missing_configuration_since_ &&
+      now >= *missing_configuration_since_ + kDirectReadAfter + direct_read_delay_;
   // Nobody is heard who would tell of a newer one.
-  const bool uninformed =
+  const bool no_connected_coordinator =
       no_connected_coordinator_since_ &&
       now >= *no_connected_coordinator_since_ + kNoConnectedCoordinatorLimit + direct_read_delay_;
-  return lacks || uninformed;
+  return outdated || no_connected_coordinator;
 }
 
 void Proxy::ChooseConfigurationSource(common::Instant now) {
   const std::uint64_t own = catalog_.Configuration().version;
-  const bool lacks = own == 0 || own < newest_reported_version_;
-  if (!lacks) {
+  const bool outdated = own == 0 || own < newest_reported_version_;
+  if (!outdated) {
     missing_configuration_since_.reset();
   } else if (!missing_configuration_since_) {
     missing_configuration_since_ = now;
@@ -163,7 +164,7 @@
   if (membership_.seeks(now)) {
     for (const common::Endpoint& seed : settings_.seed_peers) {
       if (seed != settings_.peer) {
-        AddPartner(seed, "", kSeekPause);
+        AddPartner(seed, "", kDiscoveryPause);
       }
     }
   }
@@ -184,7 +185,7 @@
     membership_.set_registered(std::move(registered), now);
   }
   const std::size_t known =
-      std::max(catalog_.Daemons().size(), peers_.HeardWithin(kEarly, now) + 1);
+      std::max(catalog_.Daemons().size(), peers_.HeardWithin(kStartupTime, now) + 1);
   large_deployment_ = large_deployment_ || known > settings_.roles.most_meshed_daemons;
   if (!large_deployment_) {
     return;
@@ -227,7 +228,7 @@
 }
 
 bool Proxy::IsHubListDue(const Peer& peer, common::Instant now) {
-  return peer.heard && peer.wants_introduction && now >= peer.introduced_at + kIntroductionPause;
+  return peer.heard && peer.wants_introduction && now >= peer.introduced_at + kHubListPause;
 }
 
 bool Proxy::ReachesStore(common::Instant now) const {
@@ -239,8 +240,9 @@
   }
   // Who makes no calls can't say whether it would be answered. That all others say so the moment
   // the store is back would make ever other daemons coordinators.
-  return roles_.coordinates() ? catalog_.Connected()
-                              : roles_.is_deputy() && catalog_.AnsweredWithin(kRecentAnswer, now);
+  return roles_.coordinates()
+             ? catalog_.Connected()
+             : roles_.is_deputy() && catalog_.AnsweredWithin(kStoreAnswerValidity, now);
 }
 
 void Proxy::AddRevisions(PeerMessage& message) const {
@@ -282,10 +284,10 @@
     message.interval =
         partner && (alive || membership_.find(peer.name) != nullptr) ? peer.pace : kDeadPeerPause;
   } else {
-    const bool early = now < *started_at_ + kEarly;
-    message.interval = alive   ? settings_.heartbeat_interval
-                       : early ? kEarlyDeadPeerPause
-                               : kDeadPeerPause;
+    const bool starting = now < *started_at_ + kStartupTime;
+    message.interval = alive      ? settings_.heartbeat_interval
+                       : starting ? kStartupDeadPeerPause
+                                  : kDeadPeerPause;
   }
   AddTenantState(peer, message, now);
   AddEvacuations(message, now);
--- a/src/proxy/proxy_stop.cc
+++ b/src/proxy/proxy_stop.cc
@@ -10,8 +10,8 @@
 /// After the stop signal, time until callers are sent here no more.
 constexpr common::Duration kStopNotice{2'300'000};
 /// Part of the stop's time that open transactions get.
-constexpr int kTransactionShare = 2;
-constexpr const char* kStops = "the daemon stops";
+constexpr int kTransactionTimeDivisor = 2;
+constexpr const char* kStoppingReason = "the daemon stops";
 /// Left of the stop's time when the process ends whatever is open.
 constexpr common::Duration kExitReserve{900'000};
 
@@ -28,7 +28,7 @@
 }
 
 common::Instant Proxy::TransactionsUntil() const {
-  return *stopping_since_ + settings_.stop_grace / kTransactionShare;
+  return *stopping_since_ + settings_.stop_grace / kTransactionTimeDivisor;
 }
 
 bool Proxy::IsTooLateForSessions(common::Instant now) const {
@@ -40,12 +40,12 @@
                           const SessionOrigin& origin) {
   if (origin.handed_over) {
     outbox_.Log("relayed_session_declined",
-                {{"session", std::to_string(session)}, {"reason", kStops}});
+                {{"session", std::to_string(session)}, {"reason", kStoppingReason}});
     outbox_.Emit(CloseSession{session});  // without an error: another owner may take it
     return;
   }
   outbox_.Log("session_refused", {{"database", database},
-                                  {"reason", kStops},
+                                  {"reason", kStoppingReason},
                                   {"version", std::to_string(catalog_.Configuration().version)}});
   outbox_.Emit(CloseSession{session, true, model::ErrorCode::kBusy, kGoElsewhere});
 }
@@ -56,7 +56,7 @@
   }
   const common::Instant transactions_until = TransactionsUntil();
   const common::Instant notice_until =
-      *stopping_since_ + std::min(kStopNotice, settings_.stop_grace / kTransactionShare);
+      *stopping_since_ + std::min(kStopNotice, settings_.stop_grace / kTransactionTimeDivisor);
   const common::Instant exit_at = *stopping_since_ + settings_.stop_grace - kExitReserve;
   if (now >= notice_until) {
     dispatcher_.StartClosing();
--- a/src/proxy/proxy_tenants.cc
+++ b/src/proxy/proxy_tenants.cc
@@ -24,10 +24,10 @@
     allocator_.note_usage(settings_.name, settings_.incarnation,
                           admission_.limiter().usage_since(common::Instant(0)), now);
   }
-  const bool much = allocator_.tick(now);
+  const bool changed_much = allocator_.tick(now);
   if (AllocatesRates()) {
     admission_.limiter().take_grants(allocator_.grants_for(settings_.name), now);
-    rates_changed_ = rates_changed_ || much;
+    rates_changed_ = rates_changed_ || changed_much;
   }
   rates_changed_ = admission_.limiter().take_surge() || rates_changed_;
 }
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -10,7 +10,7 @@
 
 /// Daemons heard within this time count for the majority: as many as share an instance's
 /// connections. A daemon that is cut off takes itself for cut off until then.
-constexpr common::Duration kHeardLately{8'000'000};
+constexpr common::Duration kReachableWithin{8'000'000};
 /// Time for which a daemon is known to be heard by another that confirmed a message. Twice the
 /// longest interval of heartbeats between daemons that exchange them (1 s), and a half for the way.
 constexpr common::Duration kConfirmedAge{2'500'000};
@@ -47,18 +47,18 @@
 }
 
 warm_up::hearing Proxy::CountReachableDaemons(common::Instant now) const {
-  warm_up::hearing heard;
-  heard.alive = LiveMembers(now).size();
-  heard.listed = catalog_.Daemons().size();
-  heard.lately = large_deployment_ ? membership_.live_within(kHeardLately, now)
-                                   : peers_.HeardWithin(kHeardLately, now) + 1;
+  warm_up::hearing counts;
+  counts.alive = LiveMembers(now).size();
+  counts.listed = catalog_.Daemons().size();
+  counts.lately = large_deployment_ ? membership_.live_within(kReachableWithin, now)
+                                    : peers_.HeardWithin(kReachableWithin, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.Alive(peer, now)) {
-      ++heard.direct;
-      heard.direct_hearing += now < peer.confirmed + kConfirmedAge ? 1 : 0;
+      ++counts.direct;
+      counts.direct_hearing += now < peer.confirmed + kConfirmedAge ? 1 : 0;
     }
   }
-  return heard;
+  return counts;
 }
 
 void Proxy::UpdateWarmUpRole(common::Instant now) {
@@ -100,8 +100,8 @@
     const auto state = warm_up_.instances().find(entry, now);
     const auto since = cold_since_.find(id);
     // A daemon that has no connection to an instance for a while asks for its entry each time.
-    const bool told = state && !warm_up::awaits_entries(*state, now);
-    if (told && since == cold_since_.end()) {
+    const bool known = state && !warm_up::awaits_entries(*state, now);
+    if (known && since == cold_since_.end()) {
       cold_since_[id] = now;
       outbox_.Log("instance_cold", {{"instance", id},
                                     {"service", entry.service},
--- a/src/proxy/read_placement.cc
+++ b/src/proxy/read_placement.cc
@@ -10,48 +10,48 @@
 constexpr common::Duration kStalenessMargin{30'000};
 /// Left of the drain limit, for statements on their way when it is reached.
 constexpr common::Duration kDrainMargin{1'500'000};
-constexpr double kOtherZoneUs = 12'000;  // time of the way and price of the bytes
+constexpr double kOtherZoneCostUs = 12'000;  // time of the way and price of the bytes
 /// The same of another region: on the users' sites regions are 12 ms apart one way, zones 3 ms.
-constexpr double kOtherRegionUs = 30'000;
-constexpr double kPrimaryUs = 8'000;      // the primary is left to writes
-constexpr double kLaggingUs = 1'000'000;  // tried only if nothing else is left
-constexpr double kCrowdedUs = 30'000;
+constexpr double kOtherRegionCostUs = 30'000;
+constexpr double kPrimaryCostUs = 8'000;      // the primary is left to writes
+constexpr double kLaggingCostUs = 1'000'000;  // tried only if nothing else is left
+constexpr double kOverloadedCostUs = 30'000;
 
 }  // namespace
 
 std::optional<ReadPlacement::Requirement> ReadPlacement::FindRequirement(const GroupState& group,
-                                                                         const ReadParameters& need,
+                                                                         const ReadParameters& read,
                                                                          common::Instant now) {
-  const common::Instant covered = need.arrived - need.max_staleness + kStalenessMargin;
+  const common::Instant covered = read.arrived - read.max_staleness + kStalenessMargin;
   const auto bound = group.history.Covering(covered);
-  if (!bound || need.consistency == model::Consistency::kPrimary) {
+  if (!bound || read.consistency == model::Consistency::kPrimary) {
     return std::nullopt;
   }
   const Requirement by_bound{*bound, now - covered, false};
-  if (need.consistency == model::Consistency::kBoundedStaleness) {
+  if (read.consistency == model::Consistency::kBoundedStaleness) {
     return by_bound;
   }
-  common::Position own = need.own_commit;
+  common::Position commit = read.own_commit;
   const auto& newest = group.history.Newest();
   // Whatever was acknowledged before the newest sample is covered by it, also if the position told
   // with the commit was rolled back in between.
-  if (newest && newest->instant >= need.own_commit_at && newest->position < own) {
-    own = newest->position;
+  if (newest && newest->instant >= read.own_commit_at && newest->position < commit) {
+    commit = newest->position;
   }
-  if (own <= *bound) {
+  if (commit <= *bound) {
     return by_bound;
   }
-  return Requirement{own, now - need.own_commit_at, true};
+  return Requirement{commit, now - read.own_commit_at, true};
 }
 
 bool ReadPlacement::AcceptsWork(const Backend& backend, common::Instant now) const {
   const common::Duration usable =
       settings_.drain_limit - std::min(kDrainMargin, settings_.drain_limit);
-  const bool leaves = backend.draining_since || backend.gone_since;
+  const bool draining = backend.draining_since || backend.gone_since;
   const common::Instant since =
       std::min(backend.draining_since.value_or(now), backend.gone_since.value_or(now));
-  const bool left = leaves && now >= since + usable;
-  return !left && !backend.Unreachable() && !backend.Silent(now);
+  const bool drained = draining && now >= since + usable;
+  return !drained && !backend.Unreachable() && !backend.Silent(now);
 }
 
 double ReadPlacement::NetworkCost(const std::string& zone) const {
@@ -60,7 +60,7 @@
   }
   const auto region = settings_.regions.find(zone);
   const bool other_region = region != settings_.regions.end() && region->second != settings_.region;
-  return other_region ? kOtherRegionUs : kOtherZoneUs;
+  return other_region ? kOtherRegionCostUs : kOtherZoneCostUs;
 }
 
 double ReadPlacement::Cost(const Backend& backend, common::Instant now) const {
@@ -69,7 +69,7 @@
   double cost = backend.LatencyUs() * (1 + busy / slots);
   cost += NetworkCost(backend.Entry().zone);
   if (now < backend.AvoidUntil()) {
-    cost += kCrowdedUs;
+    cost += kOverloadedCostUs;
   }
   return cost;
 }
@@ -85,7 +85,7 @@
   placement.instance = backend.Entry().id;
   placement.cost_us = Cost(backend, now);
   if (primary) {
-    placement.cost_us += kPrimaryUs;
+    placement.cost_us += kPrimaryCostUs;
     // One that has started again under its id may be reached before the lease is let go: it holds
     // nothing of this.
     placement.required = group.KnownOfPrimary();
@@ -94,20 +94,20 @@
   placement.required = required->position;
   placement.age = required->age;
   placement.is_own_commit = required->is_own_commit;
-  placement.cost_us += backend.ExpectedFresh(required->age, now) ? 0 : kLaggingUs;
+  placement.cost_us += backend.ExpectedFresh(required->age, now) ? 0 : kLaggingCostUs;
   return placement;
 }
 
 std::vector<Placement> ReadPlacement::Candidates(const GroupState& group,
                                                  const std::string& usable_primary,
                                                  const std::vector<std::string>& members,
-                                                 const ReadParameters& need,
+                                                 const ReadParameters& read,
                                                  const access::work& work,
                                                  common::Instant now) const {
-  const std::optional<Requirement> required = FindRequirement(group, need, now);
-  std::vector<Placement> staying;
+  const std::optional<Requirement> required = FindRequirement(group, read, now);
+  std::vector<Placement> available;
   std::vector<Placement> overflow;
-  std::vector<Placement> last;
+  std::vector<Placement> draining_or_last_resort;
   for (const std::string& id : members) {
     const Backend& backend = backends_.All().at(id);
     const access::verdict verdict = access_.judge(backend.Entry(), work, now).outcome;
@@ -118,20 +118,21 @@
     if (!placement) {
       continue;
     }
-    const bool leaves = backend.draining_since || backend.gone_since;
-    if (leaves || verdict == access::verdict::last_resort) {
-      last.push_back(std::move(*placement));
+    const bool draining = backend.draining_since || backend.gone_since;
+    if (draining || verdict == access::verdict::last_resort) {
+      draining_or_last_resort.push_back(std::move(*placement));
     } else {
-      (verdict == access::verdict::overflow ? overflow : staying).push_back(std::move(*placement));
+      (verdict == access::verdict::overflow ? overflow : available)
+          .push_back(std::move(*placement));
     }
   }
   const auto cheaper = [](const Placement& a, const Placement& b) { return a.cost_us < b.cost_us; };
-  std::sort(staying.begin(), staying.end(), cheaper);
+  std::sort(available.begin(), available.end(), cheaper);
   std::sort(overflow.begin(), overflow.end(), cheaper);
-  staying.insert(staying.end(), std::make_move_iterator(overflow.begin()),
-                 std::make_move_iterator(overflow.end()));
+  available.insert(available.end(), std::make_move_iterator(overflow.begin()),
+                   std::make_move_iterator(overflow.end()));
   // An instance that leaves gets work only if no other can take it.
-  return staying.empty() ? last : staying;
+  return available.empty() ? draining_or_last_resort : available;
 }
 
 }  // namespace valvekeel::proxy
--- a/src/proxy/read_placement.h
+++ b/src/proxy/read_placement.h
@@ -44,7 +44,7 @@
   /// them those that take only what the others have no room for.
   std::vector<Placement> Candidates(const GroupState& group, const std::string& usable_primary,
                                     const std::vector<std::string>& members,
-                                    const ReadParameters& need, const access::work& work,
+                                    const ReadParameters& read, const access::work& work,
                                     common::Instant now) const;
 
   /// What a replica must hold for a read.
@@ -56,7 +56,7 @@
 
   /// @return the requirement, or nothing if none is known: then only the primary will do.
   static std::optional<Requirement> FindRequirement(const GroupState& group,
-                                                    const ReadParameters& need,
+                                                    const ReadParameters& read,
                                                     common::Instant now);
 
   /// @return true if the instance takes new work.
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Longest wait of a session for the configuration that its other daemon has in force.
-constexpr common::Duration kConfigurationLimit{350'000};
+constexpr common::Duration kConfigurationWaitLimit{350'000};
 
 constexpr int kMissedHeartbeats = 3;
 
@@ -165,13 +165,13 @@
 void SessionRelay::SetConfiguration(const model::Configuration* configuration,
                                     common::Instant now) {
   configuration_ = configuration;
-  std::vector<SessionNumber> ready;
+  std::vector<SessionNumber> startable;
   for (const auto& [session, start] : awaiting_configuration_) {
     if (configuration_->version >= start.required_configuration) {
-      ready.push_back(session);
+      startable.push_back(session);
     }
   }
-  for (const SessionNumber session : ready) {
+  for (const SessionNumber session : startable) {
     const StartRequest start = awaiting_configuration_.at(session);
     awaiting_configuration_.erase(session);
     ServeOrDecline(session, start, now);
@@ -181,13 +181,13 @@
 void SessionRelay::Tick(common::Instant now) {
   sessions_.tick(now);
   EndSessionsOutsideRegions(now);
-  std::vector<SessionNumber> late;
+  std::vector<SessionNumber> expired;
   for (const auto& [session, start] : awaiting_configuration_) {
-    if (now >= start.arrived + kConfigurationLimit) {
-      late.push_back(session);
+    if (now >= start.arrived + kConfigurationWaitLimit) {
+      expired.push_back(session);
     }
   }
-  for (const SessionNumber session : late) {
+  for (const SessionNumber session : expired) {
     outbox_.Log("relayed_session_declined",
                 {{"session", std::to_string(session)},
                  {"reason", "configuration not in force"},
--- a/tests/proxy/proxy_evacuation_test.cc
+++ b/tests/proxy/proxy_evacuation_test.cc
@@ -34,14 +34,14 @@
   void Advance(Duration step) {
     now += step;
     proxy.Tick(now);
-    Take();
+    CollectActions();
   }
 
-  void Take() {
+  void CollectActions() {
     for (const Action& action : proxy.TakeActions()) {
       if (const auto* sent = std::get_if<SendPeerMessage>(&action);
           sent && sent->address == kPeer) {
-        told.push_back(sent->message);
+        sent_messages.push_back(sent->message);
       }
       if (const auto* read = std::get_if<ReadCatalog>(&action);
           read && read->read.collection == model::Collection::kEvacuations) {
@@ -54,25 +54,25 @@
   }
 
   /// The other daemon tells a view of this age.
-  void Hear(std::uint64_t revision, const std::vector<std::string>& zones, Duration age) {
+  void ReceiveView(std::uint64_t revision, const std::vector<std::string>& zones, Duration age) {
     PeerMessage message;
     message.name = "other";
     message.zone = "near";
     message.incarnation = 1;
     message.sequence = ++sequence;
     message.interval = milliseconds(250);
-    if (!told.empty()) {
-      message.echoed = told.back().sequence;
+    if (!sent_messages.empty()) {
+      message.echoed = sent_messages.back().sequence;
       message.echoed_incarnation = kIncarnation;
     }
     message.evacuations = {revision, zones, age};
     proxy.PeerMessageReceived(kPeer, message, now);
-    Take();
+    CollectActions();
   }
 
   /// Answers the newest question.
-  void Answer(metadata::ReadStatus status, const model::Revision& revision,
-              const std::vector<std::string>& zones) {
+  void AnswerRead(metadata::ReadStatus status, const model::Revision& revision,
+                  const std::vector<std::string>& zones) {
     metadata::ReadResult result;
     result.status = status;
     result.revision = revision;
@@ -80,7 +80,7 @@
       result.objects.push_back({zone, revision, false, model::ZoneEvacuation{zone}});
     }
     proxy.CatalogRead(reads.back().call, result, now);
-    Take();
+    CollectActions();
   }
 
   bool Logged(const std::string& event) const {
@@ -88,7 +88,7 @@
   }
 
   Instant now = kStart;
-  std::vector<PeerMessage> told;
+  std::vector<PeerMessage> sent_messages;
   std::vector<ReadCatalog> reads;
   std::vector<std::string> events;
   std::uint64_t sequence = 0;
@@ -100,17 +100,18 @@
 TEST_CASE("A view heard is placed by our own message, and told on with its age",
           "[proxy][evacuation]") {
   EvacuationFixture fixture;
-  fixture.Hear(5, {}, milliseconds(100));  // the other has not heard us: nothing to count from
+  fixture.ReceiveView(5, {},
+                      milliseconds(100));  // the other has not heard us: nothing to count from
   CHECK_FALSE(fixture.proxy.Evacuations().known());
-  REQUIRE_FALSE(fixture.told.empty());
+  REQUIRE_FALSE(fixture.sent_messages.empty());
   const Instant sent_at = fixture.now;
   fixture.now += milliseconds(60);
-  fixture.Hear(5, {"north"}, milliseconds(100));
+  fixture.ReceiveView(5, {"north"}, milliseconds(100));
   REQUIRE(fixture.proxy.Evacuations().known());
   CHECK(fixture.proxy.Evacuations().newest()->read_at == sent_at - milliseconds(100));
   CHECK(fixture.proxy.Evacuations().evacuated("north"));
   fixture.Advance(milliseconds(40));
-  const evacuation::view_message& message = fixture.told.back().evacuations;
+  const evacuation::view_message& message = fixture.sent_messages.back().evacuations;
   CHECK(message.revision == 5);
   CHECK(message.zones == std::vector<std::string>{"north"});
   CHECK(message.age == milliseconds(200));
@@ -118,20 +119,20 @@
 
 TEST_CASE("An evacuation, and its end, is told at once", "[proxy][evacuation]") {
   EvacuationFixture fixture;
-  fixture.Hear(5, {}, Duration(0));
-  fixture.Hear(5, {}, Duration(0));
+  fixture.ReceiveView(5, {}, Duration(0));
+  fixture.ReceiveView(5, {}, Duration(0));
   fixture.Advance(milliseconds(10));
-  const std::size_t before = fixture.told.size();
+  const std::size_t before = fixture.sent_messages.size();
   fixture.Advance(milliseconds(10));
-  REQUIRE(fixture.told.size() == before);  // no heartbeat is due
-  fixture.Hear(6, {"north"}, Duration(0));
+  REQUIRE(fixture.sent_messages.size() == before);  // no heartbeat is due
+  fixture.ReceiveView(6, {"north"}, Duration(0));
   fixture.Advance(milliseconds(10));
-  REQUIRE(fixture.told.size() == before + 1);
-  CHECK(fixture.told.back().evacuations.zones.size() == 1);
-  fixture.Hear(7, {}, Duration(0));
+  REQUIRE(fixture.sent_messages.size() == before + 1);
+  CHECK(fixture.sent_messages.back().evacuations.zones.size() == 1);
+  fixture.ReceiveView(7, {}, Duration(0));
   fixture.Advance(milliseconds(10));
-  REQUIRE(fixture.told.size() == before + 2);
-  CHECK(fixture.told.back().evacuations.zones.empty());
+  REQUIRE(fixture.sent_messages.size() == before + 2);
+  CHECK(fixture.sent_messages.back().evacuations.zones.empty());
   CHECK(fixture.Logged("evacuation_known"));
   CHECK(fixture.Logged("evacuation_over"));
 }
@@ -145,7 +146,7 @@
   CHECK_FALSE(fixture.reads.back().read.after_revision);
   const Instant asked_at = fixture.now;
   fixture.now += milliseconds(5);
-  fixture.Answer(metadata::ReadStatus::kOk, 5, {"north"});
+  fixture.AnswerRead(metadata::ReadStatus::kOk, 5, {"north"});
   REQUIRE(fixture.proxy.Evacuations().known());
   CHECK(fixture.proxy.Evacuations().newest()->read_at == asked_at);
 }
@@ -157,7 +158,7 @@
   REQUIRE(fixture.reads.size() == 1);
   const auto status = GENERATE(metadata::ReadStatus::kRefused, metadata::ReadStatus::kNoAnswer,
                                metadata::ReadStatus::kHistoryGone);
-  fixture.Answer(status, 9, {"north"});
+  fixture.AnswerRead(status, 9, {"north"});
   CHECK_FALSE(fixture.proxy.Evacuations().known());
   CHECK(fixture.Logged("evacuations_read_failed"));
   fixture.Advance(milliseconds(810));
@@ -176,8 +177,9 @@
     proxy.Tick(now);
     for (const Action& action : proxy.TakeActions()) {
       const auto* read = std::get_if<ReadCatalog>(&action);
-      const bool asks = read != nullptr && read->read.collection == model::Collection::kEvacuations;
-      reads += asks ? 1 : 0;
+      const bool is_evacuation_read =
+          read != nullptr && read->read.collection == model::Collection::kEvacuations;
+      reads += is_evacuation_read ? 1 : 0;
     }
   }
   CHECK(reads == 0);
@@ -202,7 +204,7 @@
   EvacuationFixture fixture;
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
-  fixture.Answer(metadata::ReadStatus::kOk, {500, 1}, {"north"});
+  fixture.AnswerRead(metadata::ReadStatus::kOk, {500, 1}, {"north"});
   REQUIRE(fixture.proxy.Evacuations().evacuated("north"));
   std::size_t answered = fixture.reads.size();
   const auto answer_next = [&](std::uint64_t number, const std::vector<std::string>& zones) {
@@ -210,7 +212,7 @@
       fixture.Advance(milliseconds(10));
     }
     REQUIRE(fixture.reads.size() == ++answered);
-    fixture.Answer(metadata::ReadStatus::kOk, {number, 2}, zones);
+    fixture.AnswerRead(metadata::ReadStatus::kOk, {number, 2}, zones);
   };
   answer_next(440, {});
   CHECK(fixture.proxy.Evacuations().evacuated("north"));
--- a/tests/proxy/proxy_stop_test.cc
+++ b/tests/proxy/proxy_stop_test.cc
@@ -18,7 +18,7 @@
 constexpr Instant kStart{100'000'000};
 constexpr Duration kMillisecond{1'000};
 /// Longer than any test: nothing ends for want of time.
-constexpr std::chrono::minutes kAges{10};
+constexpr std::chrono::minutes kNoTimeout{10};
 
 /// A daemon that is alone before a service with one instance and one without any. The store answers
 /// at once, the instance tells that it leads and is at work on all else.
@@ -31,8 +31,8 @@
       model::Route& route = configuration.routes[name];
       route.database = name;
       route.service = name;
-      route.timeout = kAges;
-      route.target_latency = kAges;
+      route.timeout = kNoTimeout;
+      route.target_latency = kNoTimeout;
     }
     entry.id = "a";
     entry.service = "ledger";
@@ -62,7 +62,7 @@
     for (auto actions = proxy.TakeActions(); !actions.empty(); actions = proxy.TakeActions()) {
       for (const Action& action : actions) {
         if (const auto* read = std::get_if<ReadCatalog>(&action)) {
-          Answer(*read);
+          AnswerRead(*read);
         } else if (const auto* open = std::get_if<OpenConnection>(&action)) {
           if (!refuses_connections) {
             proxy.ConnectionOpened(open->connection, now);
@@ -72,14 +72,14 @@
         } else if (const auto* answer = std::get_if<AnswerCaller>(&action)) {
           answers[answer->session].push_back(answer->reply);
         } else if (const auto* accepted = std::get_if<AcceptSession>(&action)) {
-          ends.erase(accepted->session);
+          closes.erase(accepted->session);
         } else if (const auto* end = std::get_if<CloseSession>(&action)) {
-          ends[end->session] = *end;
-          ended_twice += ended.insert(end->session).second ? 0 : 1;
+          closes[end->session] = *end;
+          closed_twice += closed.insert(end->session).second ? 0 : 1;
         }
-        const bool tells_caller = std::holds_alternative<AnswerCaller>(action) ||
-                                  std::holds_alternative<CloseSession>(action);
-        after_exit += tells_caller ? exits : 0;
+        const bool is_for_caller = std::holds_alternative<AnswerCaller>(action) ||
+                                   std::holds_alternative<CloseSession>(action);
+        actions_after_exit += is_for_caller ? exits : 0;
         exits += std::holds_alternative<Exit>(action) ? 1 : 0;
       }
     }
@@ -98,7 +98,7 @@
     }
   }
 
-  void Answer(const ReadCatalog& read) {
+  void AnswerRead(const ReadCatalog& read) {
     if (read.read.after_revision || !has_store) {
       return;  // nothing changes, or nobody answers
     }
@@ -111,12 +111,12 @@
     proxy.CatalogRead(read.call, result, now);
   }
 
-  void Open(SessionNumber session, const std::string& database = "ledger") {
+  void StartSession(SessionNumber session, const std::string& database = "ledger") {
     proxy.SessionStarted(session, database, {}, {}, now);
     TakeActions();
   }
 
-  void Ask(SessionNumber session, model::CommandKind kind, const std::string& id) {
+  void SendCommand(SessionNumber session, model::CommandKind kind, const std::string& id) {
     model::Command command;
     command.kind = kind;
     command.arguments = "k";
@@ -125,7 +125,7 @@
   }
 
   /// The instance answers a statement.
-  void Finish(const std::string& id, model::TransactionState state) {
+  void AnswerStatement(const std::string& id, model::TransactionState state) {
     model::Reply reply;
     reply.succeeded = true;
     reply.state = state;
@@ -155,13 +155,13 @@
   model::InstanceEntry entry;
   Instant now = kStart;
   std::map<SessionNumber, std::vector<model::Reply>> answers;
-  std::map<SessionNumber, CloseSession> ends;
-  std::set<SessionNumber> ended;
-  int ended_twice = 0;
+  std::map<SessionNumber, CloseSession> closes;
+  std::set<SessionNumber> closed;
+  int closed_twice = 0;
   std::map<std::string, ConnectionNumber> running;  // by request
   bool refuses_connections = false;                 // they open for ever
   int exits = 0;
-  int after_exit = 0;  // words to callers that came too late to be carried out
+  int actions_after_exit = 0;  // words to callers that came too late to be carried out
 };
 
 using Codes = std::vector<model::ErrorCode>;
@@ -173,25 +173,25 @@
   // 0.9 s before the process is killed a daemon ends with whatever is under way. Its callers'
   // connections were closed without a word, so that none of them could know whether to ask again.
   StoppingDaemon daemon;
-  daemon.Open(1);
-  daemon.Open(2);
-  daemon.Open(3);
-  daemon.Open(4, "vacant");
-  daemon.Open(5);
-  daemon.Ask(1, model::CommandKind::kWrite, "write");
-  daemon.Ask(1, model::CommandKind::kWrite, "behind it");
-  daemon.Ask(2, model::CommandKind::kRead, "read");
+  daemon.StartSession(1);
+  daemon.StartSession(2);
+  daemon.StartSession(3);
+  daemon.StartSession(4, "vacant");
+  daemon.StartSession(5);
+  daemon.SendCommand(1, model::CommandKind::kWrite, "write");
+  daemon.SendCommand(1, model::CommandKind::kWrite, "behind it");
+  daemon.SendCommand(2, model::CommandKind::kRead, "read");
   for (const SessionNumber session : {3, 5}) {
     const std::string number = std::to_string(session);
-    daemon.Ask(session, model::CommandKind::kBegin, "begin " + number);
-    daemon.Ask(session, model::CommandKind::kWrite, "first " + number);
+    daemon.SendCommand(session, model::CommandKind::kBegin, "begin " + number);
+    daemon.SendCommand(session, model::CommandKind::kWrite, "first " + number);
     daemon.Run(10 * kMillisecond);
-    daemon.Finish("begin " + number, model::TransactionState::kOpen);
-    daemon.Finish("first " + number, model::TransactionState::kOpen);
+    daemon.AnswerStatement("begin " + number, model::TransactionState::kOpen);
+    daemon.AnswerStatement("first " + number, model::TransactionState::kOpen);
   }
-  daemon.Ask(3, model::CommandKind::kWrite, "second");
-  daemon.Ask(5, model::CommandKind::kCommit, "commit");
-  daemon.Ask(4, model::CommandKind::kWrite, "waits");
+  daemon.SendCommand(3, model::CommandKind::kWrite, "second");
+  daemon.SendCommand(5, model::CommandKind::kCommit, "commit");
+  daemon.SendCommand(4, model::CommandKind::kWrite, "waits");
   daemon.Run(100 * kMillisecond);
   REQUIRE(daemon.running.contains("write"));
   REQUIRE(daemon.running.contains("read"));
@@ -201,7 +201,7 @@
   daemon.Stop();
   daemon.Run(5'050 * kMillisecond);
   REQUIRE(daemon.exits == 0);
-  CHECK(daemon.ends.empty());
+  CHECK(daemon.closes.empty());
   daemon.Run(100 * kMillisecond);
   REQUIRE(daemon.exits == 1);
 
@@ -211,16 +211,16 @@
   CHECK(daemon.Refusals(4) == Codes{model::ErrorCode::kBusy});
   CHECK(daemon.Refusals(5) == Codes{model::ErrorCode::kInDoubt});
   for (const SessionNumber session : {1, 4}) {
-    const auto& told = daemon.answers[session];
-    const bool not_run =
-        !told.empty() && told.back().error_text == "retry_after_ms=250 not run: the daemon stops";
+    const auto& answers = daemon.answers[session];
+    const bool not_run = !answers.empty() && answers.back().error_text ==
+                                                 "retry_after_ms=250 not run: the daemon stops";
     CHECK(not_run);
   }
-  CHECK(daemon.ends.size() == 5);
+  CHECK(daemon.closes.size() == 5);
   CHECK_FALSE(daemon.running.contains("behind it"));
   CHECK_FALSE(daemon.running.contains("waits"));
-  CHECK(daemon.after_exit == 0);
-  CHECK(daemon.ended_twice == 0);
+  CHECK(daemon.actions_after_exit == 0);
+  CHECK(daemon.closed_twice == 0);
 }
 
 TEST_CASE("A session that begins while a daemon closes is served or refused and nothing between",
@@ -229,37 +229,37 @@
   // new ones. Such a session was accepted and ended by the next tick, 10 ms at most, as one that
   // rests: its first command crossed the end, was read by nobody, and the caller could not know.
   StoppingDaemon daemon;
-  daemon.Open(1);
-  daemon.Ask(1, model::CommandKind::kWrite, "long");  // keeps the daemon from its end
+  daemon.StartSession(1);
+  daemon.SendCommand(1, model::CommandKind::kWrite, "long");  // keeps the daemon from its end
   daemon.Run(10 * kMillisecond);
   REQUIRE(daemon.running.contains("long"));
   daemon.Stop();
   daemon.Run(2'400 * kMillisecond);
 
-  daemon.Open(2);
-  daemon.Open(3);
+  daemon.StartSession(2);
+  daemon.StartSession(3);
   daemon.Run(60 * kMillisecond);  // until the caller's first command comes
-  CHECK(daemon.ends.empty());
-  daemon.Ask(2, model::CommandKind::kSet, "first");
+  CHECK(daemon.closes.empty());
+  daemon.SendCommand(2, model::CommandKind::kSet, "first");
   CHECK(daemon.answers[2].size() == 1);
   daemon.Run(10 * kMillisecond);
-  CHECK(daemon.ends.contains(2));
-  CHECK_FALSE(daemon.ends.contains(3));
+  CHECK(daemon.closes.contains(2));
+  CHECK_FALSE(daemon.closes.contains(3));
   daemon.Run(50 * kMillisecond);
-  CHECK(daemon.ends.contains(3));  // its caller says nothing
-  CHECK_FALSE(daemon.ends[3].with_error);
+  CHECK(daemon.closes.contains(3));  // its caller says nothing
+  CHECK_FALSE(daemon.closes[3].with_error);
 
   // Too late for a command to come before only last answers are awaited, and then until the end.
   for (const SessionNumber session : {4, 5}) {
     daemon.Run(400 * kMillisecond);
-    daemon.Open(session);
-    REQUIRE(daemon.ends.contains(session));
-    CHECK(daemon.ends[session].with_error);
-    CHECK(daemon.ends[session].error == model::ErrorCode::kBusy);
-    CHECK(daemon.ends[session].error_text == "retry_after_ms=250 the daemon stops");
+    daemon.StartSession(session);
+    REQUIRE(daemon.closes.contains(session));
+    CHECK(daemon.closes[session].with_error);
+    CHECK(daemon.closes[session].error == model::ErrorCode::kBusy);
+    CHECK(daemon.closes[session].error_text == "retry_after_ms=250 the daemon stops");
   }
   REQUIRE(daemon.exits == 0);
-  daemon.Finish("long", model::TransactionState::kIdle);
+  daemon.AnswerStatement("long", model::TransactionState::kIdle);
   daemon.Run(20 * kMillisecond);
   CHECK(daemon.exits == 1);
 }
@@ -269,23 +269,23 @@
   StoppingDaemon daemon(false);
   daemon.Stop();
   daemon.Run(2'000 * kMillisecond);
-  daemon.Open(1);
-  daemon.Ask(1, model::CommandKind::kWrite, "queued");
+  daemon.StartSession(1);
+  daemon.SendCommand(1, model::CommandKind::kWrite, "queued");
   daemon.Run(500 * kMillisecond);
-  REQUIRE(daemon.ends.contains(1));
-  CHECK(daemon.ends[1].with_error);
-  CHECK(daemon.ends[1].error == model::ErrorCode::kBusy);
-  CHECK(daemon.ends[1].error_text == "retry_after_ms=250 the daemon stops");
+  REQUIRE(daemon.closes.contains(1));
+  CHECK(daemon.closes[1].with_error);
+  CHECK(daemon.closes[1].error == model::ErrorCode::kBusy);
+  CHECK(daemon.closes[1].error_text == "retry_after_ms=250 the daemon stops");
 }
 
 TEST_CASE("A statement that was sent once is not said to be unrun", "[proxy][stop]") {
   // The first statement of a transaction goes out again, also a write: it may have been at work.
   StoppingDaemon daemon;
-  daemon.Open(1);
-  daemon.Ask(1, model::CommandKind::kBegin, "begin");
-  daemon.Ask(1, model::CommandKind::kWrite, "first");
+  daemon.StartSession(1);
+  daemon.SendCommand(1, model::CommandKind::kBegin, "begin");
+  daemon.SendCommand(1, model::CommandKind::kWrite, "first");
   daemon.Run(10 * kMillisecond);
-  daemon.Finish("begin", model::TransactionState::kOpen);
+  daemon.AnswerStatement("begin", model::TransactionState::kOpen);
   REQUIRE(daemon.running.contains("first"));
   daemon.entry.primary = false;  // nobody leads: it can't be sent again
   daemon.proxy.ConnectionClosed(daemon.running.at("first"), daemon.now);
@@ -305,12 +305,12 @@
           "[proxy][stop]") {
   // The answer to the first ends the session, which rests then; the second was read with it.
   StoppingDaemon daemon;
-  daemon.Open(1);
-  daemon.Ask(1, model::CommandKind::kWrite, "long");  // keeps the daemon from its end
+  daemon.StartSession(1);
+  daemon.SendCommand(1, model::CommandKind::kWrite, "long");  // keeps the daemon from its end
   daemon.Run(10 * kMillisecond);
   daemon.Stop();
   daemon.Run(2'400 * kMillisecond);
-  daemon.Open(2);
+  daemon.StartSession(2);
   model::Command set;
   set.kind = model::CommandKind::kSet;
   daemon.proxy.CommandReceived(2, {"first", set}, daemon.now);
--- a/tests/proxy/proxy_test.cc
+++ b/tests/proxy/proxy_test.cc
@@ -58,8 +58,8 @@
 namespace {
 
 /// A daemon that is alone before one service; answers its calls to the store.
-struct LoneDaemon {
-  explicit LoneDaemon(Duration warm_up_time) : proxy(MakeSettings(), 1) {
+struct SingleDaemon {
+  explicit SingleDaemon(Duration warm_up_time) : proxy(MakeSettings(), 1) {
     configuration.version = 1;
     model::Service& service = configuration.services["ledger"];
     service.name = "ledger";
@@ -75,7 +75,7 @@
       proxy.Tick(now);
       for (const Action& action : proxy.TakeActions()) {
         if (const auto* read = std::get_if<ReadCatalog>(&action)) {
-          Answer(*read);
+          AnswerRead(*read);
         } else if (const auto* open = std::get_if<OpenConnection>(&action)) {
           proxy.ConnectionOpened(open->connection, now);
           connection = open->connection;
@@ -84,7 +84,7 @@
     }
   }
 
-  void Answer(const ReadCatalog& read) {
+  void AnswerRead(const ReadCatalog& read) {
     if (read.read.collection == model::Collection::kInstances) {
       const bool list = !read.read.after_revision;
       lists += list ? 1 : 0;
@@ -115,7 +115,7 @@
 
 TEST_CASE("A daemon that starts before warm instances takes them for warm soon",
           "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(6'000'000));
+  SingleDaemon daemon(Duration(6'000'000));
   daemon.Run(Duration(2'300'000));  // connections open when the other daemons had time to greet
   REQUIRE(daemon.connection != 0);
   CHECK(daemon.proxy.ColdInstances() == 0);
@@ -124,7 +124,7 @@
 }
 
 TEST_CASE("A daemon that starts knows of a cold instance by its entry", "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(6'000'000));
+  SingleDaemon daemon(Duration(6'000'000));
   daemon.entry.warm_up_left = Duration(4'000'000);
   daemon.Run(Duration(3'000'000));
   CHECK(daemon.proxy.ColdInstances() == 1);
@@ -134,7 +134,7 @@
 
 TEST_CASE("An instance whose only connection broke is spared for the whole time",
           "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(6'000'000));
+  SingleDaemon daemon(Duration(6'000'000));
   daemon.Run(Duration(4'000'000));
   REQUIRE(daemon.connection != 0);
   daemon.proxy.ConnectionClosed(daemon.connection, daemon.now);
@@ -146,7 +146,7 @@
 
 TEST_CASE("Without a warm-up a list is read again for the groups' members alone, and none is cold",
           "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(0));
+  SingleDaemon daemon(Duration(0));
   daemon.entry.warm_up_left = Duration(4'000'000);
   daemon.Run(Duration(3'000'000));
   daemon.proxy.ConnectionClosed(daemon.connection, daemon.now);
--- a/tests/proxy/read_placement_test.cc
+++ b/tests/proxy/read_placement_test.cc
@@ -30,8 +30,8 @@
     backends.SetEntry(entry, kStart);
   }
 
-  std::vector<Placement> Candidates(const ReadParameters& need, Instant now) const {
-    return placement.Candidates(group, "p", {"a", "b", "p"}, need, {route, ""}, now);
+  std::vector<Placement> Candidates(const ReadParameters& read, Instant now) const {
+    return placement.Candidates(group, "p", {"a", "b", "p"}, read, {route, ""}, now);
   }
 
   ProxySettings settings;
@@ -43,7 +43,7 @@
   ReadPlacement placement{settings, backends, access};
 };
 
-ReadParameters Bounded(Instant arrived) {
+ReadParameters BoundedRead(Instant arrived) {
   return {Consistency::kBoundedStaleness, Duration(1'500'000), arrived, {}, Instant(0)};
 }
 
@@ -56,7 +56,7 @@
   fixture.settings.regions = {{"near", "home"}, {"far", "home"}, {"abroad", "other"}};
   fixture.group.history.Add({kStart, Position{1, 40}});
   const auto places = fixture.placement.Candidates(fixture.group, "p", {"c", "b", "a"},
-                                                   Bounded(kStart + Duration(100'000)),
+                                                   BoundedRead(kStart + Duration(100'000)),
                                                    {fixture.route, ""}, kStart);
   REQUIRE(places.size() == 3);
   CHECK(places[0].instance == "a");
@@ -67,7 +67,7 @@
 TEST_CASE("A replica of the own zone comes first, with the position it must hold", "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
-  const auto places = fixture.Candidates(Bounded(kStart + Duration(100'000)), kStart);
+  const auto places = fixture.Candidates(BoundedRead(kStart + Duration(100'000)), kStart);
   REQUIRE(places.size() == 3);
   CHECK(places[0].instance == "a");
   CHECK(places[0].required == Position{1, 40});
@@ -75,7 +75,7 @@
 
 TEST_CASE("Without a known position only the primary serves", "[proxy]") {
   const PlacementFixture fixture;
-  const auto places = fixture.Candidates(Bounded(kStart), kStart);
+  const auto places = fixture.Candidates(BoundedRead(kStart), kStart);
   REQUIRE(places.size() == 1);
   CHECK(places[0].instance == "p");
   CHECK_FALSE(places[0].required);
@@ -84,18 +84,18 @@
 TEST_CASE("The session's own commit is required beyond the bound", "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
-  ReadParameters need = Bounded(kStart + Duration(10'000));
-  need.consistency = Consistency::kReadYourWrites;
-  need.own_commit = Position{1, 45};
-  need.own_commit_at = kStart + Duration(5'000);
-  const auto own = ReadPlacement::FindRequirement(fixture.group, need, kStart + Duration(10'000));
+  ReadParameters read = BoundedRead(kStart + Duration(10'000));
+  read.consistency = Consistency::kReadYourWrites;
+  read.own_commit = Position{1, 45};
+  read.own_commit_at = kStart + Duration(5'000);
+  const auto own = ReadPlacement::FindRequirement(fixture.group, read, kStart + Duration(10'000));
   REQUIRE(own);
   CHECK(own->position == Position{1, 45});
   CHECK(own->is_own_commit);
   // A later sample covers the commit, also if its own position was rolled back in between.
   fixture.group.history.Add({kStart + Duration(6'000), Position{1, 43}});
   const auto covered =
-      ReadPlacement::FindRequirement(fixture.group, need, kStart + Duration(10'000));
+      ReadPlacement::FindRequirement(fixture.group, read, kStart + Duration(10'000));
   REQUIRE(covered);
   CHECK(covered->position == Position{1, 43});
 }
@@ -105,7 +105,7 @@
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
   fixture.backends.Find("a")->NoteLagging(Duration(1'400'000), true, kStart);
-  const auto places = fixture.Candidates(Bounded(kStart), kStart + Duration(1'000));
+  const auto places = fixture.Candidates(BoundedRead(kStart), kStart + Duration(1'000));
   REQUIRE(places.size() == 3);
   CHECK(places.back().instance == "a");
   const Instant later = kStart + Duration(2'000'000);
@@ -117,13 +117,13 @@
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
   fixture.backends.EntryGone("a", kStart);
-  const auto places = fixture.Candidates(Bounded(kStart), kStart);
+  const auto places = fixture.Candidates(BoundedRead(kStart), kStart);
   CHECK(places.size() == 2);
   for (const std::string id : {"b", "p"}) {
     fixture.backends.EntryGone(id, kStart);
   }
-  CHECK(fixture.Candidates(Bounded(kStart), kStart).size() == 3);
-  CHECK(fixture.Candidates(Bounded(kStart), kStart + fixture.settings.drain_limit).empty());
+  CHECK(fixture.Candidates(BoundedRead(kStart), kStart).size() == 3);
+  CHECK(fixture.Candidates(BoundedRead(kStart), kStart + fixture.settings.drain_limit).empty());
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/session_relay_test.cc
+++ b/tests/proxy/session_relay_test.cc
@@ -51,11 +51,11 @@
   }
 
   static std::string Owner() { return RelayFixture("").roles.owners("group").front(); }
-  static std::string Other() { return Owner() == "a" ? "b" : "a"; }
+  static std::string NonOwner() { return Owner() == "a" ? "b" : "a"; }
 
   /// @return the first action of a kind since the last call.
   template <typename Kind>
-  std::optional<Kind> Taken() {
+  std::optional<Kind> FirstAction() {
     std::optional<Kind> first;
     for (const Action& action : outbox.Take()) {
       const auto* kind = std::get_if<Kind>(&action);
@@ -88,11 +88,11 @@
 }  // namespace
 
 TEST_CASE("A session goes to the owner with the version in force", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  const auto relayed = fixture.Taken<RelaySession>();
+  const auto relayed = fixture.FirstAction<RelaySession>();
   REQUIRE(relayed);
   CHECK(relayed->owner.host == RelayFixture::Owner());
   CHECK(relayed->required_configuration == 5);
@@ -100,7 +100,7 @@
 }
 
 TEST_CASE("A caller whose link is lost gets the answer before the close", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
@@ -130,15 +130,15 @@
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
 }
 
 TEST_CASE("A session that was handed over is never handed on", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5}, kStart);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
   CHECK_FALSE(fixture.relay->Relays(kSession));
 }
 
@@ -147,11 +147,11 @@
   const model::Configuration older = ConfigurationOf(4);
   fixture.Configure(older);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5}, kStart);
-  CHECK_FALSE(fixture.Taken<AcceptSession>());
+  CHECK_FALSE(fixture.FirstAction<AcceptSession>());
   CHECK(fixture.relay->AwaitsConfiguration());
   const model::Configuration newer = ConfigurationOf(5);
   fixture.Configure(newer);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
   CHECK_FALSE(fixture.relay->AwaitsConfiguration());
 }
 
@@ -161,25 +161,25 @@
   fixture.Configure(older);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5}, kStart);
   fixture.relay->Tick(kStart + kLong);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK_FALSE(closed->with_error);
 }
 
 TEST_CASE("Without an owner that is heard the session is served here", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart + kLong);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
 }
 
 TEST_CASE("An unknown database is refused where the caller is", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "other", kKey, {}, kStart);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK(closed->error == model::ErrorCode::kUnknownDatabase);
 }
@@ -195,7 +195,7 @@
   static_cast<void>(fixture.outbox.Take());
   const Instant later = kStart + relay::FIRST_COMMAND_TIME;
   fixture.dispatcher.EndResting("group", false, later);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK(closed->session == kSession);
   CHECK(fixture.dispatcher.SessionCount() == 1);
@@ -216,7 +216,7 @@
 
   std::vector<SessionNumber> asked;
   std::vector<SessionNumber> closed;
-  const auto take = [&] {
+  const auto collect = [&] {
     for (const Action& action : fixture.outbox.Take()) {
       if (const auto* ask = std::get_if<RequestSessionEnd>(&action)) {
         asked.push_back(ask->session);
@@ -228,7 +228,7 @@
   // Once; a daemon of an earlier version would not understand it.
   fixture.dispatcher.CloseResting(false, kStart);
   fixture.dispatcher.CloseResting(false, kStart + kLong);
-  take();
+  collect();
   CHECK(asked == std::vector<SessionNumber>{kSession});
   CHECK(closed == std::vector<SessionNumber>{kSession + 1});
 
@@ -245,7 +245,7 @@
   SECTION("at the end of a stop's time this daemon does") {
     fixture.dispatcher.EndSessions([](const CallerSession&) { return true; }, EndWhen::kAtOnce, "",
                                    kStart + kLong);
-    take();
+    collect();
     CHECK(closed.size() == 2);
   }
 }
@@ -257,11 +257,11 @@
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5, true}, kStart);
   const Instant later = kStart + relay::FIRST_COMMAND_TIME;
   fixture.dispatcher.EndResting("group", false, later);
-  CHECK(fixture.Taken<RequestSessionEnd>());
+  CHECK(fixture.FirstAction<RequestSessionEnd>());
   fixture.dispatcher.EndResting("group", false, later + 2 * kLong - Duration(1));
   CHECK(fixture.dispatcher.SessionCount() == 1);
   fixture.dispatcher.EndResting("group", false, later + 2 * kLong);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
@@ -288,17 +288,17 @@
 
 TEST_CASE("A session that may not leave for an owner is served where its caller is",
           "[proxy][regions]") {
-  RegionsFixture fixture(RelayFixture::Other(), {"north"});
+  RegionsFixture fixture(RelayFixture::NonOwner(), {"north"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
   CHECK_FALSE(fixture.relay->Relays(kSession));
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
 }
 
 TEST_CASE("A session that may run nowhere is refused at once with a time to come back",
           "[proxy][regions]") {
-  RegionsFixture fixture(RelayFixture::Other(), {"abroad"});
+  RegionsFixture fixture(RelayFixture::NonOwner(), {"abroad"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK(closed->error == model::ErrorCode::kBusy);
   CHECK(closed->error_text == "retry_after_ms=1000 outside its regions");
@@ -308,7 +308,7 @@
 TEST_CASE("An owner declines a session whose requests it may not hold", "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"north"});
   fixture.HandOver();
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK_FALSE(closed->with_error);
   CHECK(fixture.dispatcher.SessionCount() == 0);
@@ -320,23 +320,23 @@
   fixture.configuration.version = 6;
   fixture.SetAllowed({"north"});
   fixture.Configure(fixture.configuration);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
 TEST_CASE("An owner ends the sessions handed over that it may no longer hold", "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   model::Command begin;
   begin.kind = model::CommandKind::kBegin;
   fixture.dispatcher.CommandReceived(kSession, {"r1", begin}, kStart);
   fixture.SetAllowed({"north"});
   fixture.relay->RegionsChanged(kStart);
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT - Duration(1));
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
@@ -345,24 +345,24 @@
   // The next command may be on the link already: only the daemon that passes it on knows.
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   fixture.SetAllowed({"north"});
   fixture.relay->RegionsChanged(kStart);
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT - Duration(1));
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
 TEST_CASE("A session of a caller of this daemon stays when regions change", "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   fixture.SetAllowed({"north"});
   fixture.relay->RegionsChanged(kStart);
   fixture.relay->Tick(kStart + relay::MOVE_DEADLINE);
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
 }
 
 TEST_CASE("A command of a session that waits for a configuration is not lost", "[proxy]") {
@@ -375,14 +375,14 @@
   CHECK(fixture.relay->QueueCommand(kSession, {"r1", set}));
   const model::Configuration after = ConfigurationOf(6);
   fixture.Configure(after);
-  CHECK(fixture.Taken<AnswerCaller>());
+  CHECK(fixture.FirstAction<AnswerCaller>());
 }
 
 TEST_CASE("An owner answers what it cuts short at the deadline of a move", "[proxy][regions]") {
   // The other daemon can only say of a write that it is in doubt; this one knows that it never ran.
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   model::Command write;
   write.kind = model::CommandKind::kWrite;
   fixture.dispatcher.CommandReceived(kSession, {"r1", write}, kStart);  // no instance: it waits
@@ -406,9 +406,9 @@
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   fixture.dispatcher.EndResting("group", false, kStart + Duration(10'000));
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
 }
 
 }  // namespace valvekeel::proxy
