--- a/src/proxy/actions.h
+++ b/src/proxy/actions.h
@@ -1,7 +1,7 @@
-// What the proxy's decision code asks its host to do.
+// The actions that the proxy's decision code requests from its host.
 //
-// Owns: the typed actions. Invariant: an action carries all that its host needs; the host decides
-// nothing. Thread: any (values only).
+// Invariant: an action carries everything that its host needs; the host makes no decisions. The
+// types are plain values and can be used from any thread.
 #pragma once
 
 #include <cstdint>
@@ -22,53 +22,56 @@
 
 namespace valvekeel::proxy {
 
-/// Number of a caller's session, counted by the host.
+/// Number of a caller's session, assigned by the host.
 using SessionNumber = std::uint64_t;
 
-/// Number of a connection to an instance, counted by the proxy.
+/// Number of a connection to an instance, assigned by the proxy.
 using ConnectionNumber = std::uint64_t;
 
-/// Number of a call whose answer the host brings back, counted by the proxy.
+/// Number of a call whose result the host returns, assigned by the proxy.
 using CallNumber = std::uint64_t;
 
+/// Opens a connection to an instance.
 struct OpenConnection {
   ConnectionNumber connection = 0;
   common::Endpoint address;
   std::string service;
   std::string instance;
-  std::string tenant;  // whose requests it carries; empty: the proxy's own
+  std::string tenant;  // whose requests it carries; empty for the proxy's own
 };
 
-/// Sends requests in one write; each is answered in turn.
+/// Sends requests in one write. Replies arrive in the order of the requests.
 struct SendRequests {
   ConnectionNumber connection = 0;
   std::vector<model::InstanceRequest> requests;
 };
 
+/// Closes a connection to an instance.
 struct CloseConnection {
   ConnectionNumber connection = 0;
 };
 
-/// Tells a caller that its session may begin.
+/// Notifies a caller that its session is accepted.
 struct AcceptSession {
   SessionNumber session = 0;
 };
 
-/// How long a statement took, for metrics.
+/// Times of a statement, for metrics.
 struct StatementTimes {
   model::Consistency consistency = model::Consistency::kPrimary;
-  common::Duration waited{0};    // for an instance
-  common::Duration instance{0};  // from sending to the answer
+  common::Duration waited{0};    // before an instance was available
+  common::Duration instance{0};  // from sending to the reply
 };
 
 /// Answers the caller's oldest unanswered command.
 struct AnswerCaller {
   SessionNumber session = 0;
   model::Reply reply;
-  std::optional<StatementTimes> times;  // of a statement that an instance answered
+  std::optional<StatementTimes> times;  // only for a statement that an instance answered
 };
 
-/// Ends a session once what was sent to it has left; an error goes out first if there is one.
+/// Closes a session after all output to its caller has been written. If with_error is set, the
+/// error is sent first.
 struct CloseSession {
   SessionNumber session = 0;
   bool with_error = false;
@@ -76,51 +79,54 @@
   std::string error_text;
 };
 
-/// Hands a caller's session to another daemon: what the caller has sent so far goes there, and all
-/// that follows both ways.
+/// Relays a caller's session to another daemon: the host forwards what the caller has sent so far
+/// and then all traffic in both directions.
 struct RelaySession {
   SessionNumber session = 0;
-  common::Endpoint owner;                    // where it takes relayed sessions
-  std::uint64_t required_configuration = 0;  // version that must be in force there
+  common::Endpoint owner;                    // where it accepts relayed sessions
+  std::uint64_t required_configuration = 0;  // minimum version in force there
 };
 
-/// Closes the link of a relayed session, if there still is one.
+/// Closes the link of a relayed session if it is still open.
 struct CloseRelay {
   SessionNumber session = 0;
 };
 
-/// Asks the daemon that handed a session over to end it as it rests.
+/// Asks the daemon that handed a session over to end it as soon as it is idle.
 struct RequestSessionEnd {
   SessionNumber session = 0;
 };
 
+/// Lists or watches a collection of the metadata store.
 struct ReadCatalog {
   CallNumber call = 0;
   metadata::ReadCall read;
 };
 
-/// Asks for the newest configuration, never from an old state of the store.
+/// Reads the newest configuration from the store, never from a stale state.
 struct ReadConfiguration {
   CallNumber call = 0;
 };
 
+/// Writes a leadership record to the store.
 struct WriteLeadership {
   CallNumber call = 0;
   failover::RecordWrite write;
 };
 
-/// Asks for the leadership record as it is now.
+/// Reads the current leadership record.
 struct ReadLeadership {
   CallNumber call = 0;
-  std::uint64_t era = 0;  // whose record
+  std::uint64_t era = 0;  // of the store, whose record is read
 };
 
-/// Writes what this daemon announces of itself, whatever is there.
+/// Writes this daemon's own entry to the store, replacing any existing entry.
 struct WriteDaemonEntry {
   CallNumber call = 0;
   model::DaemonEntry entry;
 };
 
+/// Asks the promotion service to promote an instance.
 struct Promote {
   CallNumber call = 0;
   std::string service;
@@ -129,18 +135,20 @@
   std::uint64_t token = 0;
 };
 
+/// Sends a message to another daemon.
 struct SendPeerMessage {
   common::Endpoint address;
   PeerMessage message;
 };
 
-/// Asks another daemon for the catalog that it knows.
+/// Fetches another daemon's copy of the catalog.
 struct FetchCatalog {
   CallNumber call = 0;
   common::Endpoint address;
-  bool configuration_only = false;  // else with instances and daemons
+  bool configuration_only = false;  // otherwise instances and daemons too
 };
 
+/// Sets the answer of the readiness check.
 struct SetReady {
   bool ready = false;
 };
--- a/src/proxy/outbox.h
+++ b/src/proxy/outbox.h
@@ -1,7 +1,7 @@
-// Collects the actions of one event.
+// Collects the actions that result from an event until the host takes them.
 //
-// Owns: actions not yet taken by the host, and the numbers of calls. Invariant: numbers are never
-// used twice in one life. Pure. Thread: its host's.
+// Owns: the actions that the host has not taken yet, and the counter of call numbers. Invariant: no
+// number is used twice in one incarnation. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <utility>
@@ -11,6 +11,7 @@
 
 namespace valvekeel::proxy {
 
+/// Queue of actions, with the counter of call numbers.
 class Outbox {
  public:
   void Emit(Action action) { actions_.push_back(std::move(action)); }
@@ -20,7 +21,7 @@
     actions_.emplace_back(LogEvent{level, event, std::move(fields)});
   }
 
-  /// @return a number for a call, connection or control request.
+  /// @return a new number for a call, connection or control request.
   std::uint64_t NextNumber() { return next_number_++; }
 
   std::vector<Action> Take() { return std::exchange(actions_, {}); }
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -8,42 +8,44 @@
 
 constexpr common::Duration kRegisterPause{1'000'000};
 constexpr common::Duration kFetchPause{300'000};
-/// The same in a large deployment of a whole catalog, 0.9 MB at 1,000 groups: each of 50 owners may
-/// ask.
+/// The same for a full catalog in a large deployment: it has 0.9 MB at 1,000 groups, and each of 50
+/// owners may fetch it.
 constexpr common::Duration kFullFetchPause{2'000'000};
-/// Time for the store to answer before another daemon is asked for the catalog.
+/// Time for the store to answer before the catalog is fetched from another daemon.
 constexpr common::Duration kFetchAfter{400'000};
-/// The same at a first start, when no daemon has anything yet.
+/// The same at a first start, when no daemon has a catalog yet.
 constexpr common::Duration kFirstFetchAfter{3'000'000};
-/// In a large deployment, time from the start until a service may do without owners: by then all
-/// others are known, of whom only some are at first.
+/// In a large deployment, time from the start until a service may do without owners. At first only
+/// some of the other daemons are known; by then all are.
 constexpr common::Duration kMayServeDirectlyAfter{10'000'000};
-/// Over which daemons spread that read the configuration from the store by themselves.
+/// Interval over which daemons spread their own reads of the configuration from the store.
 constexpr common::Duration kDirectReadSpread{6'000'000};
 /// At a first start, time after which it is known whether the deployment is large: all daemons
-/// start within 0.3 s and write to the seeds at once.
+/// start within 0.3 s and send to the seeds at once.
 constexpr common::Duration kDeploymentSizeKnownAfter{800'000};
-/// Time between ticks of a daemon that serves no session, connects to no instance and heads
-/// nothing. What it does then, relaying sessions and telling of itself, has limits of 400 ms and
+/// Time between ticks of a daemon that serves no session, connects to no instance and has no role.
+/// What such a daemon does, relaying sessions and sending heartbeats, has time limits of 400 ms and
 /// more.
 constexpr common::Duration kIdleTick{40'000};
-/// Peers heard within this time share an instance's connections.
+/// Peers that sent a heartbeat within this time share an instance's connections.
 constexpr common::Duration kSharingAge{8'000'000};
-/// Time between two ticks after which this daemon takes itself to have stood still.
+/// Time between two ticks after which this daemon assumes that its process was stalled.
 constexpr common::Duration kStallThreshold{300'000};
-/// How often the roles are worked out again.
+/// How often the roles are recomputed.
 constexpr common::Duration kRolesInterval{100'000};
-/// After the start, time in which a daemon that is listed counts as live although it was not heard.
+/// Time after the start in which a listed daemon counts as live before its first heartbeat arrives.
 constexpr common::Duration kFirstHeartbeatTime{2'000'000};
-/// Connections to an instance that may be opening at once. A handshake holds a slot for 12 to 32
-/// ms: where many daemons share an instance, statements that wait must not make each open all that
-/// it may. Seen on the large site: 55,000 connections over the limit, and nothing served for 4 s.
+/// Connections to an instance that may be opening at once. A handshake occupies a slot for 12 to 32
+/// ms. Where many daemons share an instance, waiting statements must not make each daemon open all
+/// connections of its share: in a large deployment this led to 55,000 connections over the limit,
+/// and no statement was served for 4 s.
 constexpr std::size_t kMostOpeningMeshed = 1'000;
 constexpr std::size_t kMostOpeningOwner = 1;
-/// The same as relay::GUEST_TIME for sessions that daemons handed over which can't be asked to end
-/// them: their views of who lives follow within 2.5 s (a zone whose hubs fall silent), their roles
-/// 0.1 s later, and they end the sessions 1 s after that. A command may be on the link to a session
-/// that rests here: 58 to 103 a day of planned stops were cut off so, most within 4 ms.
+/// The same as relay::GUEST_TIME for sessions handed over by daemons that can't be asked to end
+/// them. Their membership views follow within 2.5 s (if a zone's hubs become unresponsive), their
+/// roles 0.1 s later, and they end the sessions 1 s after that. Ending an idle session earlier can
+/// lose a command that is on the link: 58 to 103 commands per day of planned stops, most of them
+/// within 4 ms.
 constexpr common::Duration kHandedOverSessionGrace{5'000'000};
 
 }  // namespace
@@ -179,7 +181,7 @@
 void Proxy::LeadershipRead(CallNumber call, const std::optional<model::LeadershipRecord>& record,
                            const model::Revision& revision, common::Instant now) {
   OnStoreEra(revision.era, now);
-  // A record of an earlier era says nothing of what was begun in this one.
+  // A record of an earlier era says nothing about failovers begun in this one.
   const bool of_present_era = record && store_lease_.AskedEra() == catalog_.Era();
   store_lease_.Read(call, of_present_era ? record : std::nullopt);
   if (large_deployment_) {
@@ -202,7 +204,8 @@
     groups_.BeginEra(now);
   }
   if (era_changed) {
-    // This daemon's entry may be gone, and a promoter waits only for the leases of who is listed.
+    // This daemon's entry may be missing, and a promotion waits only for the leases of listed
+    // daemons.
     registered_ = false;
     registration_call_.reset();
     register_not_before_ = now;
@@ -251,7 +254,7 @@
   const auto counted_from = peers_.Receive(from, message, now);
   const auto peer = peers_.All().find(from);
   if (peer == peers_.All().end()) {
-    return;  // our own
+    return;  // this daemon's own message
   }
   ApplyMembershipMessage(from, message, now);
   ApplyTenantState(peer->second, message, counted_from, now);
@@ -260,11 +263,11 @@
                                              : roles_.meshed() || roles_.watches_any();
   const bool sends_hub_list = large_deployment_ && IsHubListDue(peer->second, now);
   if ((!was_alive && has_updates) || sends_hub_list) {
-    // A daemon that has just come learns at once what it can't know by itself yet.
+    // A daemon that has just started gets at once what it can't know yet.
     SendHeartbeat(peer->second, MakeHeartbeat(true, now), now);
   }
   if (groups_.TakeReports(message, counted_from)) {
-    // Who announced the fence waits for the word that the lease was let go.
+    // The daemon that announced the fence waits for the notification that the lease was released.
     SendHeartbeat(peer->second, MakeHeartbeat(ReportsAllGroups(), now), now);
   }
   RecordNewerConfiguration(from, message.configuration_version, now);
@@ -290,7 +293,8 @@
   RecordWarmUpEntries(update, now);
   for (const model::InstanceEntry& instance : update.instances) {
     backends_.SetEntry(instance, now);
-    // Another writer's entry may name any service: no state is kept of one that isn't configured.
+    // An entry of another writer may name any service. No state is kept for one that isn't
+    // configured.
     if (catalog_.Configuration().services.contains(instance.service)) {
       groups_.Get(instance.service, now);
     }
@@ -389,7 +393,7 @@
       connection_limits_[name] = service.max_connections;
     }
   }
-  // Without a word of the others this daemon would take all connections for its own.
+  // Before the others' heartbeats arrive this daemon would claim all connections for itself.
   const bool first_heartbeats_over = now >= *started_at_ + kFirstHeartbeatTime;
   const bool others_known =
       first_heartbeats_over || (catalog_.DaemonsKnown() && !settings_.first_start);
@@ -435,7 +439,8 @@
   if (!no_connected_coordinator_since_) {
     no_connected_coordinator_since_ = now;
   }
-  // While the store is away, calls of all daemons would be refused, and are paid for.
+  // While the store is unavailable, calls of all daemons would be rejected, and each call is
+  // charged.
   return large_deployment_ && !roles_.is_deputy() &&
          now < *no_connected_coordinator_since_ + kNoConnectedCoordinatorLimit;
 }
@@ -474,7 +479,7 @@
     return;
   }
   if (IsListedInStore()) {
-    registered_ = true;  // in an earlier life
+    registered_ = true;  // in an earlier incarnation
     return;
   }
   if (!NeedsStoreEntry(now) || !(catalog_.Connected() || settings_.first_start)) {
@@ -487,11 +492,11 @@
 
 bool Proxy::NeedsStoreEntry(common::Instant now) const {
   if (!large_deployment_) {
-    // At a first start the others wait for this entry; it shows soon whether they are many.
+    // At a first start the others wait for this entry. Their number is known soon.
     return settings_.first_start ? now >= *started_at_ + kDeploymentSizeKnownAfter
                                  : catalog_.DaemonsListed();
   }
-  // Only who may hold a lease must be known to those who replace primaries.
+  // Daemons that replace primaries need to know only those that may hold a lease.
   return roles_.known() &&
          (roles_.watches_any() || roles_.next_to_own() || serves_unowned_services_);
 }
@@ -505,8 +510,8 @@
 
 void Proxy::FetchMissingCatalog(common::Instant now) {
   const bool without_instances = catalog_.Instances().empty();
-  // In a large deployment a hub hands the configuration out, and few need the instances: all would
-  // ask the seeds at once.
+  // In a large deployment hubs distribute the configuration and few daemons need the instances.
+  // Otherwise all would fetch from the seeds at once.
   const bool needed_in_large =
       without_instances && roles_.known() && roles_.watches_any() && !catalog_.Connected();
   const bool needed = large_deployment_
@@ -534,7 +539,7 @@
 }
 
 bool Proxy::InstancesKnown() const {
-  // Who hands sessions to owners needs to know these alone.
+  // A daemon that relays sessions needs to know only the owners.
   const bool relays = large_deployment_ && !roles_.meshed();
   if (relays && !roles_.known()) {
     return false;
@@ -551,7 +556,8 @@
   if (!ready_ && ready) {
     ready = InstancesKnown();
   }
-  // Once ready, a daemon stays so until it stops: it answers refusals itself.
+  // Once ready, a daemon stays ready until it stops: it rejects requests itself if it can't serve
+  // them.
   ready = (ready || ready_) && !stopping_since_;
   if (ready != ready_ || !readiness_reported_) {
     ready_ = ready;
@@ -604,14 +610,14 @@
   if (groups_.TakeConfirmed()) {
     BringHeartbeatsForward(now);
   }
-  // In a large deployment most daemons know of a group only what its watchers tell.
+  // In a large deployment most daemons know of a group only what its watchers report.
   const bool evaluation_changed = groups_.TakeOpinionChanged() && !roles_.meshed();
   const bool new_configuration =
       catalog_.Revisions().configuration > sent_configuration_revision_ ||
       (membership_.is_hub() && catalog_.Configuration().version > sent_configuration_version_);
   sent_configuration_revision_ = catalog_.Revisions().configuration;
   sent_configuration_version_ = catalog_.Configuration().version;
-  // A new configuration is passed on at once: daemon to hub, hub to hubs, hub to its zone.
+  // A new configuration is forwarded at once: daemon to hub, hub to hubs, hub to its zone.
   const bool rates = std::exchange(rates_changed_, false);
   const bool evacuations = std::exchange(evacuations_changed_, false);
   const bool urgent = groups_changed || evaluation_changed || rates || evacuations ||
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,10 +1,10 @@
-// The decision code of a daemon that serves callers, as one state machine.
+// The decision code of a daemon that serves callers, as a single state machine.
 //
-// Events and time go in through the methods, actions come out of TakeActions. The daemon, the tests
-// and the simulator run this same object; see docs/design/system.md.
+// Events and the present time come in through the methods; TakeActions returns the resulting
+// actions. The daemon, the tests and the simulator run this same class; see docs/design/system.md.
 //
-// Owns: all state of the daemon's decisions. Invariant: no clock, socket, thread or global random
-// number is used inside. Pure. Thread: its host's.
+// Owns: all state of the daemon's decisions. Invariant: it uses no clock, socket, thread or global
+// random number generator. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -41,14 +41,17 @@
 
 namespace valvekeel::proxy {
 
-/// Time without a daemon that reaches the store after which each asks by itself. The coordinators
-/// and their deputies look all the while, so this is for a store that turns just these away; calls
-/// of all in an outage of 7 s cost a fifth of the prices of a day.
+/// Time without a coordinator that reaches the store after which every daemon calls the store
+/// itself. Coordinators and their deputies call the store all the time, so this matters only if the
+/// store rejects just those. A shorter limit is costly: if all daemons call the store during an
+/// outage of 7 s, this costs a fifth of all charges of a day.
 inline constexpr common::Duration kNoConnectedCoordinatorLimit{10'000'000};
 
+/// One daemon's decisions about sessions, connections, failover and membership. The host must pass
+/// times that never decrease.
 class Proxy : private RestartObserver {
  public:
-  /// @param seed of the random numbers that spread repeated calls.
+  /// @param seed seed of the random numbers that spread repeated calls over time.
   Proxy(ProxySettings settings, std::uint64_t seed);
   Proxy(const Proxy&) = delete;
   Proxy& operator=(const Proxy&) = delete;
@@ -65,7 +68,8 @@
   void RelayDeclined(SessionNumber session, common::Instant now);
   void RelayAnswered(SessionNumber session, model::TransactionState state, common::Instant now);
   void RelayEndRequested(SessionNumber session);
-  /// @param between_messages what the caller has of the owner now ends with a whole message.
+  /// @param between_messages true if the data that the caller has received from the owner ends at a
+  /// message boundary.
   void RelayDataReceived(SessionNumber session, bool between_messages, common::Instant now);
   void RelayEnded(SessionNumber session, const relay::link_end& end, common::Instant now);
 
@@ -82,8 +86,8 @@
 
   // The metadata store and the promotion service.
   void CatalogRead(CallNumber call, const metadata::ReadResult& result, common::Instant now);
-  /// @param record nothing if the store did not answer. @param revision of number 0 if there is no
-  /// record of the era that was asked for.
+  /// @param record nothing if the store did not answer. @param revision has number 0 if there is no
+  /// record of the requested era.
   void LeadershipRead(CallNumber call, const std::optional<model::LeadershipRecord>& record,
                       const model::Revision& revision, common::Instant now);
   /// @param configuration nothing if the store did not answer.
@@ -98,16 +102,16 @@
                            common::Instant now);
   void CatalogFetched(CallNumber call, const std::optional<CatalogCopy>& copy, common::Instant now);
 
-  /// A stop was asked for: sessions end, then the process does.
+  /// Begins a planned stop: sessions end first, then the process exits.
   void Stop(common::Instant now);
 
-  /// To be called after every TickPause.
+  /// Must be called each time TickPause has passed.
   void Tick(common::Instant now);
 
-  /// @return time until the next tick: kTick, or longer for a daemon with nothing at hand.
+  /// @return time until the next tick: kTick, or longer for an idle daemon.
   common::Duration TickPause() const;
 
-  /// Tells an observer of the load from now on; it outlives this object.
+  /// Sets the observer that is notified of the load. It must outlive this object.
   void SetLoadObserver(waiting::load_observer* observer) { dispatcher_.SetLoadObserver(observer); }
 
   std::vector<Action> TakeActions() { return outbox_.Take(); }
@@ -125,103 +129,106 @@
   const membership::live_view& Membership() const { return membership_; }
   const evacuation::view_tracker& Evacuations() const { return evacuations_; }
   const warm_up::warm_up_rule& WarmUps() const { return warm_up_; }
-  /// @return how many instances count as cold here.
+  /// @return how many instances count as cold according to the local view.
   std::size_t ColdInstances() const { return cold_since_.size(); }
 
-  /// @return how many other daemons are taken to be alive.
+  /// @return how many other daemons are live according to the local view.
   std::size_t CountOtherLiveDaemons(common::Instant now) const {
     return large_deployment_ ? membership_.live().size() - 1 : peers_.LiveNames(now).size();
   }
 
  private:
-  /// Whom a heartbeat is for.
+  /// The daemons that heartbeats are sent to.
   enum class Receivers : std::uint8_t {
-    kDue,       // those whose heartbeat is due
-    kPartners,  // all live daemons that this one exchanges heartbeats with
-    kAll,       // all daemons that may hold a lease
+    kDue,       // daemons whose heartbeat is due
+    kPartners,  // also all live daemons that this one exchanges heartbeats with
+    kAll,       // also all daemons that may hold a lease
   };
   void OnRestarted(const model::InstanceEntry& entry, common::Instant now) override;
   void ApplyCatalogUpdate(const CatalogUpdate& update, common::Instant now);
-  /// The store's history is of this era: a later one than before ends what rests on the former.
+  /// Handles the era of the store's history. If the era is later than before, all state that
+  /// depends on the former history is dropped.
   void OnStoreEra(std::uint64_t era, common::Instant now);
   void ApplyConfiguration(common::Instant now);
-  /// Takes the regions of a new configuration's routes and tenants.
+  /// Applies the regions of a new configuration's routes and tenants.
   void ApplyRegions(common::Instant now);
   void UpdateRoles(common::Instant now);
-  /// Ends sessions of services that this daemon has not owned for a while.
-  /// @return true if this daemon needs not ask the store by itself: one that follows the store
-  /// closely, and reaches it, is heard, or others look first whether the store is there.
+  /// @return true if this daemon need not call the store itself: either a coordinator that reaches
+  /// the store is reachable, or other daemons check first whether the store is back.
   bool CanSkipStoreCalls(common::Instant now);
   bool HasConnectedCoordinator(common::Instant now) const;
-  /// @return true if this daemon serves sessions, or may be handed some.
+  /// @return true if this daemon serves sessions, or sessions may be handed over to it.
   bool Admits() const;
-  /// @return true if this daemon works out the tenants' rates for all.
+  /// @return true if this daemon computes the tenants' rates for all daemons.
   bool AllocatesRates() const;
   void AdvanceRates(common::Instant now);
   void ApplyTenantState(const Peer& peer, const PeerMessage& message,
                         const std::optional<common::Instant>& counted_from, common::Instant now);
-  /// Completes a heartbeat by what the peer should know around tenants.
+  /// Adds proofs, usage counts and grants of tenants to a heartbeat for the peer.
   void AddTenantState(Peer& peer, PeerMessage& message, common::Instant now) const;
   // Evacuated zones (proxy_evacuation.cc).
-  /// @return true if the deployment's operators evacuate zones.
+  /// @return true if evacuation of zones is enabled for the deployment.
   bool EvacuationsEnabled() const { return settings_.evacuation_limit.count() > 0; }
-  /// Asks the store which zones are evacuated, if that is due.
+  /// Reads the evacuated zones from the store if that is due.
   void AdvanceEvacuations(common::Instant now);
-  /// Takes the store's answer. @return true if the call was that question.
+  /// Handles the store's answer. @return true if the call was a read of the evacuated zones.
   bool EvacuationsRead(CallNumber call, const metadata::ReadResult& result, common::Instant now);
   void ApplyEvacuations(const PeerMessage& message,
                         const std::optional<common::Instant>& counted_from, common::Instant now);
-  void TakeEvacuations(const evacuation::zone_view& view, const std::string& source,
-                       common::Instant now);
+  void ApplyEvacuations(const evacuation::zone_view& view, const std::string& source,
+                        common::Instant now);
   void AddEvacuations(PeerMessage& message, common::Instant now) const;
-  /// Shares the instances' connections out, as the roles tell.
+  /// Sets this daemon's share of the connections to each service's instances, according to the
+  /// roles.
   void SetConnectionLimits(const std::set<std::string>& in_use);
   void EndSessionsOfUnownedServices(const std::set<std::string>& in_use, common::Instant now);
   std::size_t CountSharingDaemons(common::Instant now) const;
   std::vector<relay::member> LiveMembers(common::Instant now) const;
   std::vector<relay::member> ReachableMembers(common::Instant now) const;
-  /// Works out who lives. @return true if that changed.
+  /// Updates the membership view and the size class of the deployment.
   void UpdateMembership(common::Instant now);
   void LogMembershipChange();
   void ChoosePartners(common::Instant now);
   void AddPartner(const common::Endpoint& address, const std::string& name, common::Duration pace);
   void ApplyMembershipMessage(const common::Endpoint& from, const PeerMessage& message,
                               common::Instant now);
-  /// @return true if the peer asks who the hubs are, and was not told a moment ago.
+  /// @return true if the peer requested the list of hubs and has not just received it.
   static bool IsHubListDue(const Peer& peer, common::Instant now);
   void UpdateCatalogInterest(bool serves_unowned_services, common::Instant now);
   void Register(common::Instant now);
-  /// @return true if this daemon should be listed in the store.
+  /// @return true if this daemon should have an entry in the store.
   bool NeedsStoreEntry(common::Instant now) const;
-  /// @return true if the store lists this daemon as it is.
+  /// @return true if the store lists this daemon with its present zone, address and capacity.
   bool IsListedInStore() const;
   void FetchMissingCatalog(common::Instant now);
-  /// Sends heartbeats. @param all_groups tells the state of all groups, not only of those in
-  /// trouble.
+  /// Sends heartbeats. @param all_groups true to report the state of all groups, not only of those
+  /// in trouble.
   void SendHeartbeats(Receivers receivers, bool all_groups, common::Instant now);
   bool IsReceiver(const Peer& peer, Receivers receivers, common::Instant now) const;
-  /// @return the peers that heartbeats may go to.
+  /// @return the peers that may receive a heartbeat.
   std::vector<Peer*> ReceiversOf(Receivers receivers);
-  /// @return true if the receiver of a heartbeat needs the group's report.
+  /// @return true if the peer needs the group's report.
   bool NeedsReport(const GroupReport& report, const Peer& peer) const;
-  /// @return true if this daemon is known to reach the store.
+  /// @return true if this daemon is known to reach the store, as reported to others.
   bool ReachesStore(common::Instant now) const;
   void AddRevisions(PeerMessage& message) const;
   PeerMessage MakeHeartbeat(bool all_groups, common::Instant now) const;
-  /// Sends what concerns the peer: groups in trouble, and those that it watches.
+  /// Sends the peer a heartbeat with the reports that it needs: those of groups in trouble and of
+  /// groups that it watches.
   void SendHeartbeat(Peer& peer, const PeerMessage& whole, common::Instant now);
-  /// Sends the groups that concern the peer in messages of bounded size. @param message the rest.
+  /// Sends the reports that the peer needs in messages of bounded size. @param message everything
+  /// but the reports.
   void SendInParts(Peer& peer, PeerMessage message, const std::vector<GroupReport>& groups,
                    common::Instant now);
   common::Duration RoleHeartbeatInterval(const std::string& peer) const;
-  /// Notes that a daemon has a newer configuration in force.
+  /// Records that a daemon has a newer configuration in force.
   void RecordNewerConfiguration(const common::Endpoint& peer, std::uint64_t version,
                                 common::Instant now);
   void FetchNewerConfiguration(common::Instant now);
-  /// @return true if this daemon reads the configuration from the store, for others too.
+  /// @return true if this daemon reads the configuration from the store itself.
   bool ReadsConfiguration(common::Instant now) const;
   void ChooseConfigurationSource(common::Instant now);
-  /// @return true if others rely on this daemon for the state of all groups.
+  /// @return true if other daemons rely on this one for the state of all groups.
   bool ReportsAllGroups() const;
   void BringHeartbeatsForward(common::Instant now);
   // Instances that have just started: proxy_warm_up.cc.
@@ -232,16 +239,16 @@
   void LogWarmUps(common::Instant now);
   warm_up::hearing CountReachableDaemons(common::Instant now) const;
   void UpdateReadiness(common::Instant now);
-  /// Sees to it that all members of the watched groups are known.
+  /// Requests a new list of instances if members of watched groups are unknown.
   void EnsureMembersKnown();
-  /// @return true if instances of all services that this daemon connects to are known.
+  /// @return true if an instance of each service that this daemon connects to is known.
   bool InstancesKnown() const;
   void AdvanceStop(common::Instant now);
-  /// @return the end of the time that open transactions get; a stop must have been asked for.
+  /// @return the time until which open transactions may continue. Requires a stop in progress.
   common::Instant TransactionsUntil() const;
-  /// @return true if a session that begins now could not be served.
+  /// @return true if a session that begins now could no longer be served.
   bool IsTooLateForSessions(common::Instant now) const;
-  /// Turns a new session away, so that its caller goes elsewhere.
+  /// Rejects a new session, so that its caller connects to another daemon.
   void RefuseSession(SessionNumber session, const std::string& database,
                      const SessionOrigin& origin);
   double Jitter();
@@ -254,7 +261,7 @@
   evacuation::read_schedule evacuation_reads_;
   evacuation::evacuation_rule evacuation_rule_;
   std::optional<CallNumber> evacuation_call_;
-  bool evacuations_changed_ = false;  // all should hear of it now
+  bool evacuations_changed_ = false;  // sent to all partners at once
   warm_up::warm_up_rule warm_up_;
   std::map<std::string, common::Instant> cold_since_;  // by instance
   regions::region_policy regions_;
@@ -273,7 +280,7 @@
   Dispatcher dispatcher_;
   SessionRelay session_relay_;
   std::mt19937_64 random_;
-  common::Duration direct_read_delay_;  // spreads the reads of daemons that fall back on the store
+  common::Duration direct_read_delay_;  // spreads the reads of daemons that fall back to the store
   bool ready_ = false;
   bool readiness_reported_ = false;
   std::optional<common::Instant> started_at_;
@@ -282,7 +289,7 @@
   bool exited_ = false;
   bool registered_ = false;
   std::optional<CallNumber> registration_call_;
-  std::uint64_t applied_era_ = 0;  // of the store, that all parts know of
+  std::uint64_t applied_era_ = 0;  // the store's era that all components have been given
   common::Instant register_not_before_{0};
   std::optional<CallNumber> fetch_call_;
   common::Instant fetch_not_before_{0};
@@ -291,22 +298,22 @@
   common::Instant roles_due_{0};
   bool serves_unowned_services_ = false;
   std::optional<common::Instant> no_connected_coordinator_since_;
-  bool large_deployment_ = false;  // too many daemons for all to hear each other
+  bool large_deployment_ = false;  // too many daemons for all to exchange heartbeats
   std::vector<Peer*> partners_;
-  bool rates_changed_ = false;  // all should hear of the grants now
+  bool rates_changed_ = false;  // grants are sent to all partners at once
   std::size_t registered_count_ = 0;
-  std::map<std::string, std::uint32_t> connection_limits_;  // of an instance, by service
-  std::uint64_t connection_limits_version_ = 0;             // of the configuration they are of
-  std::set<std::string> connection_limits_in_use_;          // when the limits were set
+  std::map<std::string, std::uint32_t> connection_limits_;  // per instance, by service
+  std::uint64_t connection_limits_version_ = 0;     // version of the configuration they come from
+  std::set<std::string> connection_limits_in_use_;  // services in use when the limits were set
   model::Revision sent_configuration_revision_;
   std::uint64_t sent_configuration_version_ = 0;
   std::map<std::string, common::Instant> unowned_services_since_;  // by service
-  /// A daemon that has a newer configuration in force.
+  /// A newer configuration that another daemon has in force.
   struct NewerConfiguration {
     common::Endpoint peer;
     std::uint64_t version = 0;
     common::Instant recorded_at{0};
-    common::Duration fetch_delay{0};  // after which it is fetched, where many daemons do so
+    common::Duration fetch_delay{0};  // delay before the fetch where many daemons fetch
   };
   std::optional<NewerConfiguration> newer_configuration_;
   std::uint64_t newest_reported_version_ = 0;
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -1,4 +1,4 @@
-// Which zones are evacuated: read from the store, heard from other daemons, told to them.
+// The proxy's view of evacuated zones: read from the store, exchanged with other daemons.
 
 #include "proxy/proxy.h"
 
@@ -37,8 +37,8 @@
     return false;
   }
   evacuation_call_.reset();
-  // Evacuations that were acknowledged may not have been written again: a zone must not return to
-  // use for that.
+  // After the store returned from an older copy, acknowledged evacuations may not have been written
+  // again yet. A zone must not return to use because of that.
   const bool answered = result.status == metadata::ReadStatus::kOk &&
                         catalog_.IsComplete(evacuation_reads_.asked_at());
   const auto read_at =
@@ -57,7 +57,7 @@
   for (const model::CatalogObject& object : result.objects) {
     view.zones.insert(object.name);
   }
-  TakeEvacuations(view, "store", now);
+  ApplyEvacuations(view, "store", now);
   return true;
 }
 
@@ -68,14 +68,14 @@
   if (!EvacuationsEnabled() || !counted_from || !received.age) {
     return;
   }
-  TakeEvacuations({received.revision,
-                   {received.zones.begin(), received.zones.end()},
-                   *counted_from - *received.age},
-                  message.name, now);
+  ApplyEvacuations({received.revision,
+                    {received.zones.begin(), received.zones.end()},
+                    *counted_from - *received.age},
+                   message.name, now);
 }
 
-void Proxy::TakeEvacuations(const evacuation::zone_view& view, const std::string& source,
-                            common::Instant now) {
+void Proxy::ApplyEvacuations(const evacuation::zone_view& view, const std::string& source,
+                             common::Instant now) {
   const evacuation::view_change change = evacuations_.take(view);
   evacuations_changed_ = evacuations_changed_ || !change.empty();
   for (const std::string& zone : change.begun) {
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -1,4 +1,5 @@
-// Heartbeats to the other daemons: to whom, how often, what about; and what they bring up.
+// Heartbeats of the proxy: receivers, intervals and content, and the membership and configuration
+// updates that arrive with them.
 
 #include <algorithm>
 #include <utility>
@@ -8,34 +9,34 @@
 namespace valvekeel::proxy {
 namespace {
 
-constexpr common::Duration kDeadPeerPause{1'000'000};  // between messages to a silent peer
-/// The same to daemons that may be there, while this one knows nobody.
+constexpr common::Duration kDeadPeerPause{1'000'000};  // between messages to an unresponsive peer
+/// The same to the seeds, while this daemon knows no other.
 constexpr common::Duration kDiscoveryPause{200'000};
-/// Least time between two introductions to a daemon: two that seek would answer each other for
-/// ever.
+/// Minimum time between two hub lists to one daemon. Without it two daemons in discovery would
+/// answer each other endlessly.
 constexpr common::Duration kHubListPause{150'000};
-/// The same in the first seconds of a life: all others may be about to come.
+/// The same in the first seconds of an incarnation, when all others may be about to start.
 constexpr common::Duration kStartupDeadPeerPause{250'000};
 constexpr common::Duration kStartupTime{3'000'000};
-/// Time for which an answer of the store shows that this daemon reaches it.
+/// Time for which an answer of the store proves that this daemon reaches it.
 constexpr common::Duration kStoreAnswerValidity{3'000'000};
-/// Time for the store to tell of a configuration that another daemon has in force already.
+/// Time for the store to deliver a configuration that another daemon already has in force.
 constexpr common::Duration kNewerConfigurationPause{120'000};
-/// Over which the daemons of a zone spread their fetches from its hub: 200 of 80 KB in this time
-/// are 640 Mbit/s.
+/// Interval over which the daemons of a zone spread their fetches from its hub: 200 fetches of 80
+/// KB in this time are 640 Mbit/s.
 constexpr common::Duration kFetchSpread{200'000};
-/// Time without the newest configuration after which a daemon reads it from the store by itself:
-/// 985 of them at once kept its link of 1,000 Mbit/s busy with answers of 750 KB that nobody waited
-/// for any more, and none was ever ready.
+/// Time without the newest configuration after which a daemon reads it from the store itself. If
+/// 985 daemons do so at once, their answers of 750 KB saturate the store's link of 1,000 Mbit/s,
+/// all calls time out, and no daemon becomes ready.
 constexpr common::Duration kDirectReadAfter{4'000'000};
-/// Reports of groups in one message, of about 50 bytes each, and beside lists of daemons (15 KB): a
-/// datagram takes 65,507 bytes, which the reports of 1,300 groups would fill.
+/// Maximum number of group reports in one message, alone and beside lists of daemons (15 KB). A
+/// report has about 50 bytes and a datagram at most 65,507, which 1,300 reports would fill.
 constexpr std::size_t kMostReports = 250;
 constexpr std::size_t kMostReportsBesideLists = 10;
-/// Names in a log line on daemons that were lost; the count tells of the rest.
+/// Maximum number of names in a log line on lost daemons; the count includes the others.
 constexpr std::size_t kMostNamesLogged = 8;
 
-/// @return the message but for its reports of groups, of which each receiver gets its own.
+/// @return the message without its reports of groups, which differ for each receiver.
 PeerMessage WithoutGroups(const PeerMessage& whole) {
   PeerMessage message;
   message.name = whole.name;
@@ -71,8 +72,8 @@
   if (newer_configuration_ && catalog_.Configuration().version >= newer_configuration_->version) {
     newer_configuration_.reset();
   }
-  // Who reads the store itself gives it time to tell. A session that another daemon handed over
-  // waits only for a moment.
+  // A daemon that reads the store itself allows it some time to deliver. A session handed over by
+  // another daemon waits only for a short time.
   const bool spreads =
       large_deployment_ && !ReadsConfiguration(now) && !session_relay_.AwaitsConfiguration();
   const common::Duration pause = spreads && newer_configuration_ ? newer_configuration_->fetch_delay
@@ -97,7 +98,7 @@
   const bool outdated =
       missing_configuration_since_ &&
       now >= *missing_configuration_since_ + kDirectReadAfter + direct_read_delay_;
-  // Nobody is heard who would tell of a newer one.
+  // No reachable daemon would report a newer one.
   const bool no_connected_coordinator =
       no_connected_coordinator_since_ &&
       now >= *no_connected_coordinator_since_ + kNoConnectedCoordinatorLimit + direct_read_delay_;
@@ -191,7 +192,8 @@
     return;
   }
   ChooseConfigurationSource(now);
-  // Hubs tell who lives; the list is for those who replace primaries, and for who hears no hub.
+  // Hubs distribute the membership. The store's list is for daemons that replace primaries and for
+  // those that reach no hub.
   catalog_.SetDiscovering(!membership_.settled() || (roles_.known() && roles_.coordinates()));
   membership_.set_self(ReachesStore(now), stopping_since_.has_value());
   membership_.update(now);
@@ -238,8 +240,8 @@
   if (!roles_.known()) {
     return false;
   }
-  // Who makes no calls can't say whether it would be answered. That all others say so the moment
-  // the store is back would make ever other daemons coordinators.
+  // A daemon that makes no calls can't report whether the store would answer. If all others
+  // reported it as soon as the store is back, the coordinators would keep changing.
   return roles_.coordinates()
              ? catalog_.Connected()
              : roles_.is_deputy() && catalog_.AnsweredWithin(kStoreAnswerValidity, now);
@@ -267,7 +269,7 @@
   if (roles_.watches(report.service, peer.name)) {
     return true;
   }
-  // Any daemon may hold a lease that must be let go; else only watchers care.
+  // Any daemon may hold a lease that must be released. Otherwise only watchers need the report.
   return large_deployment_ ? report.fence_below > 0 : report.troubled;
 }
 
@@ -297,7 +299,7 @@
 
 void Proxy::SendInParts(Peer& peer, PeerMessage message, const std::vector<GroupReport>& groups,
                         common::Instant now) {
-  // Lists of daemons and many reports don't go together.
+  // Lists of daemons and many reports don't fit into one message.
   const std::size_t most = message.view.lists.empty() ? kMostReports : kMostReportsBesideLists;
   for (const GroupReport& report : groups) {
     if (!NeedsReport(report, peer)) {
@@ -365,7 +367,7 @@
 }
 
 void Proxy::BringHeartbeatsForward(common::Instant now) {
-  // A heartbeat that is due soon carries more if it follows the confirmation at once.
+  // A heartbeat that is due soon is sent right after the confirmation, so that it carries more.
   for (Peer* peer : ReceiversOf(Receivers::kPartners)) {
     const common::Duration interval = large_deployment_ ? peer->pace : settings_.heartbeat_interval;
     const bool due_soon = now + interval / 2 >= peer->next_heartbeat;
--- a/src/proxy/proxy_regions.cc
+++ b/src/proxy/proxy_regions.cc
@@ -1,4 +1,4 @@
-// Where a new configuration lets work run.
+// Applies the allowed regions of a new configuration.
 
 #include "proxy/proxy.h"
 
@@ -18,7 +18,7 @@
     outbox_.Log("regions_changed", {{"version", std::to_string(configuration.version)},
                                     {"limited", regions_.active() ? "true" : "false"}});
   }
-  // Also without a change of regions: a key may have another tenant now.
+  // Needed even if no regions changed: a key may belong to another tenant now.
   session_relay_.RegionsChanged(now);
 }
 
--- a/src/proxy/proxy_stop.cc
+++ b/src/proxy/proxy_stop.cc
@@ -1,4 +1,4 @@
-// The planned stop: whose sessions end when, who is refused, when the process ends.
+// The proxy's planned stop: ends sessions, rejects new ones and exits the process.
 
 #include <algorithm>
 
@@ -7,12 +7,12 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// After the stop signal, time until callers are sent here no more.
+/// Time after the stop signal until load balancers no longer send callers here.
 constexpr common::Duration kStopNotice{2'300'000};
-/// Part of the stop's time that open transactions get.
+/// Open transactions get the stop's time divided by this.
 constexpr int kTransactionTimeDivisor = 2;
 constexpr const char* kStoppingReason = "the daemon stops";
-/// Left of the stop's time when the process ends whatever is open.
+/// Remaining part of the stop's time when the process exits, whatever is still open.
 constexpr common::Duration kExitReserve{900'000};
 
 }  // namespace
@@ -32,7 +32,7 @@
 }
 
 bool Proxy::IsTooLateForSessions(common::Instant now) const {
-  // Each that is accepted has its whole time for a first command.
+  // Each accepted session gets the full time for a first command.
   return stopping_since_ && now >= TransactionsUntil() - relay::FIRST_COMMAND_TIME;
 }
 
--- a/src/proxy/proxy_tenants.cc
+++ b/src/proxy/proxy_tenants.cc
@@ -1,4 +1,5 @@
-// What daemons tell each other around tenants: proofs of the configuration, counts, grants.
+// The exchange of tenant state between daemons: proofs of the configuration, usage counts and
+// grants.
 
 #include <algorithm>
 
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -1,4 +1,4 @@
-// What the rule for instances that have just started is told (warm_up/warm_up_rule.h).
+// Feeds the rule for instances that have just started (warm_up/warm_up_rule.h).
 
 #include <algorithm>
 #include <utility>
@@ -8,11 +8,13 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Daemons heard within this time count for the majority: as many as share an instance's
-/// connections. A daemon that is cut off takes itself for cut off until then.
+/// Daemons that sent a heartbeat within this time count for the majority. The time equals that for
+/// sharing an instance's connections. A daemon that is cut off counts itself as cut off for this
+/// long.
 constexpr common::Duration kReachableWithin{8'000'000};
-/// Time for which a daemon is known to be heard by another that confirmed a message. Twice the
-/// longest interval of heartbeats between daemons that exchange them (1 s), and a half for the way.
+/// Time for which a confirmed message proves that the peer receives this daemon's heartbeats. Twice
+/// the longest heartbeat interval between daemons that exchange them (1 s), and 0.5 s for the
+/// network.
 constexpr common::Duration kConfirmedAge{2'500'000};
 
 }  // namespace
@@ -23,7 +25,7 @@
   if (was_enabled || !warm_up_.enabled()) {
     return;
   }
-  // Until now nothing was noted.
+  // Nothing was recorded while the rule was disabled.
   for (const auto& [id, entry] : catalog_.Instances()) {
     warm_up_.instances().note_entry(entry, now);
   }
@@ -99,7 +101,7 @@
     const model::InstanceEntry& entry = backend.Entry();
     const auto state = warm_up_.instances().find(entry, now);
     const auto since = cold_since_.find(id);
-    // A daemon that has no connection to an instance for a while asks for its entry each time.
+    // A daemon that had no connection to an instance for a while reads its entry each time.
     const bool known = state && !warm_up::awaits_entries(*state, now);
     if (known && since == cold_since_.end()) {
       cold_since_[id] = now;
--- a/src/proxy/read_placement.cc
+++ b/src/proxy/read_placement.cc
@@ -6,15 +6,15 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Added to the bound, for the time between the caller's first byte and its arrival here.
+/// Added to the bound, for the time between sending the caller's first byte and its arrival.
 constexpr common::Duration kStalenessMargin{30'000};
-/// Left of the drain limit, for statements on their way when it is reached.
+/// Reserve at the end of the drain limit, for statements that are in flight when it is reached.
 constexpr common::Duration kDrainMargin{1'500'000};
-constexpr double kOtherZoneCostUs = 12'000;  // time of the way and price of the bytes
-/// The same of another region: on the users' sites regions are 12 ms apart one way, zones 3 ms.
+constexpr double kOtherZoneCostUs = 12'000;  // latency and price of the traffic
+/// The same for another region: regions are 12 ms apart one way, zones 3 ms.
 constexpr double kOtherRegionCostUs = 30'000;
-constexpr double kPrimaryCostUs = 8'000;      // the primary is left to writes
-constexpr double kLaggingCostUs = 1'000'000;  // tried only if nothing else is left
+constexpr double kPrimaryCostUs = 8'000;      // keeps the primary free for writes
+constexpr double kLaggingCostUs = 1'000'000;  // used only if no other instance is left
 constexpr double kOverloadedCostUs = 30'000;
 
 }  // namespace
@@ -33,7 +33,7 @@
   }
   common::Position commit = read.own_commit;
   const auto& newest = group.history.Newest();
-  // Whatever was acknowledged before the newest sample is covered by it, also if the position told
+  // The newest sample covers every commit acknowledged before it, even if the position reported
   // with the commit was rolled back in between.
   if (newest && newest->instant >= read.own_commit_at && newest->position < commit) {
     commit = newest->position;
@@ -86,8 +86,8 @@
   placement.cost_us = Cost(backend, now);
   if (primary) {
     placement.cost_us += kPrimaryCostUs;
-    // One that has started again under its id may be reached before the lease is let go: it holds
-    // nothing of this.
+    // A primary that restarted under the same id may be reached before the lease is released; it
+    // does not contain these commits.
     placement.required = group.KnownOfPrimary();
     return placement;
   }
@@ -131,7 +131,7 @@
   std::sort(overflow.begin(), overflow.end(), cheaper);
   available.insert(available.end(), std::make_move_iterator(overflow.begin()),
                    std::make_move_iterator(overflow.end()));
-  // An instance that leaves gets work only if no other can take it.
+  // A draining instance gets work only if no other can serve it.
   return available.empty() ? draining_or_last_resort : available;
 }
 
--- a/src/proxy/read_placement.h
+++ b/src/proxy/read_placement.h
@@ -1,7 +1,7 @@
-// Chooses the instances that may serve a read, best first.
+// Selects the instances that may serve a read, in order of expected cost.
 //
-// Owns: nothing. Invariant: an instance other than the usable primary is offered only together with
-// the position that its log must hold. Pure. Thread: its host's.
+// Invariant: an instance other than the usable primary is returned only together with the position
+// that its log must contain. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <optional>
@@ -17,15 +17,16 @@
 
 namespace valvekeel::proxy {
 
-/// One place where a read may run.
+/// An instance on which a read may run.
 struct Placement {
   std::string instance;
-  std::optional<common::Position> required;  // that the instance must hold
-  common::Duration age{0};                   // of the newest commit that must be there
-  bool is_own_commit = false;                // that commit is the session's own
-  double cost_us = 0;                        // expected time and price, for ordering
+  std::optional<common::Position> required;  // that the instance must contain
+  common::Duration age{0};                   // of the newest commit that must be contained
+  bool is_own_commit = false;                // that commit is one of the session
+  double cost_us = 0;                        // expected time and network price, for ordering
 };
 
+/// Consistency that a read requires, and the session's last commit.
 struct ReadParameters {
   model::Consistency consistency = model::Consistency::kPrimary;
   common::Duration max_staleness{0};
@@ -34,39 +35,42 @@
   common::Instant own_commit_at{0};
 };
 
+/// Ranks a group's instances for a read.
 class ReadPlacement {
  public:
   ReadPlacement(const ProxySettings& settings, const BackendSet& backends,
                 const access::rule_set& access)
       : settings_(settings), backends_(backends), access_(access) {}
 
-  /// @param usable_primary empty if there is none now. @return places in order of cost; behind
-  /// them those that take only what the others have no room for.
+  /// @param usable_primary empty if there is none now. @return placements in order of cost,
+  /// followed by those on instances that serve only what exceeds the capacity of the others.
   std::vector<Placement> Candidates(const GroupState& group, const std::string& usable_primary,
                                     const std::vector<std::string>& members,
                                     const ReadParameters& read, const access::work& work,
                                     common::Instant now) const;
 
-  /// What a replica must hold for a read.
+  /// The position that a replica must contain for a read.
   struct Requirement {
     common::Position position;
-    common::Duration age{0};     // since the newest commit that it covers was acknowledged
-    bool is_own_commit = false;  // it is the session's own commit
+    common::Duration age{0};     // time since the newest commit that it covers was acknowledged
+    bool is_own_commit = false;  // the position is that of a commit of the session
   };
 
-  /// @return the requirement, or nothing if none is known: then only the primary will do.
+  /// @return the requirement, or nothing if none is known; then only the primary can serve the
+  /// read.
   static std::optional<Requirement> FindRequirement(const GroupState& group,
                                                     const ReadParameters& read,
                                                     common::Instant now);
 
-  /// @return true if the instance takes new work.
+  /// @return true if the instance accepts new work.
   bool AcceptsWork(const Backend& backend, common::Instant now) const;
 
  private:
-  /// @return what the way to a zone adds to the cost.
+  /// @return the network cost of a zone, in microseconds.
   double NetworkCost(const std::string& zone) const;
   double Cost(const Backend& backend, common::Instant now) const;
-  /// @return the place, without regard to the access rules; nothing if the read can't run there.
+  /// @return the placement, without regard to the access rules; nothing if the read can't run
+  /// there.
   std::optional<Placement> PlacementOn(const Backend& backend, bool primary,
                                        const GroupState& group,
                                        const std::optional<Requirement>& required,
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -9,7 +9,8 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Longest wait of a session for the configuration that its other daemon has in force.
+/// Longest wait of a session for the configuration that the daemon that handed it over has in
+/// force.
 constexpr common::Duration kConfigurationWaitLimit{350'000};
 
 constexpr int kMissedHeartbeats = 3;
@@ -134,8 +135,8 @@
     return;
   }
   const common::Duration since = now - *outside_regions_since_;
-  // Until then the daemon that handed them over ends them: the next command of a session that rests
-  // here may be on the link.
+  // Before these limits the daemon that handed them over ends them: the next command of a session
+  // that is idle here may be on the link.
   const EndWhen when = since >= relay::MOVE_DEADLINE ? EndWhen::kAtOnce
                        : since >= relay::MOVE_LIMIT  ? EndWhen::kAnswered
                                                      : EndWhen::kLater;
@@ -210,7 +211,7 @@
 }
 
 bool SessionRelay::alive(const std::string& daemon, common::Instant now) const {
-  // In a large deployment hubs hear the owners for all.
+  // In a large deployment hubs receive the owners' heartbeats for all daemons.
   return membership_.find(daemon) != nullptr || HasRecentHeartbeat(daemon, now);
 }
 
@@ -243,7 +244,7 @@
   model::Reply reply;
   reply.error = error;
   reply.error_text = text;
-  // Whatever was open ends with the owner's side of the session.
+  // An open transaction ends with the owner's side of the session.
   reply.state = model::TransactionState::kIdle;
   outbox_.Emit(AnswerCaller{session, reply, std::nullopt});
 }
--- a/src/proxy/session_relay.h
+++ b/src/proxy/session_relay.h
@@ -1,11 +1,11 @@
-// Which sessions are served here and which are handed to another daemon.
+// Decides which sessions are served locally and which are relayed to another daemon.
 //
-// Carries relay::relayed_sessions out by actions, and holds sessions that another daemon handed
-// over until the configuration they need is in force here.
+// Implements relay::relay_port by actions, and queues sessions that another daemon handed over
+// until the configuration they require is in force here.
 //
-// Owns: the relayed sessions, and those handed over. Invariant: a session that was handed over is
-// never handed on, and is served here only while its requests may be held here. Pure. Thread: its
-// host's.
+// Owns: the relayed sessions and those handed over that wait for a configuration. Invariant: a
+// session that was handed over is never handed on, and is served here only while its requests may
+// be processed in this zone. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <map>
@@ -24,14 +24,15 @@
 
 namespace valvekeel::proxy {
 
-/// Where a session comes from.
+/// How a session reached this daemon: from its caller or from another daemon.
 struct SessionOrigin {
   bool handed_over = false;                  // by another daemon
   common::Endpoint daemon;                   // which
-  std::uint64_t required_configuration = 0;  // version that must be in force
-  bool accepts_end_request = false;          // the daemon ends it as it rests if asked to
+  std::uint64_t required_configuration = 0;  // minimum version in force
+  bool accepts_end_request = false;          // the daemon ends it when idle if asked to
 };
 
+/// Starts sessions: serves them here, relays them, or rejects them.
 class SessionRelay : public relay::relay_port {
  public:
   SessionRelay(const ProxySettings& settings, const relay::role_map& roles, const PeerTable& peers,
@@ -40,7 +41,7 @@
 
   void SetConfiguration(const model::Configuration* configuration, common::Instant now);
 
-  /// To be called after a configuration that changed where work may run.
+  /// Must be called after a configuration that changed the allowed regions.
   void RegionsChanged(common::Instant now);
 
   void SessionStarted(SessionNumber session, const std::string& database,
@@ -48,8 +49,8 @@
                       common::Instant now);
   void SessionClosed(SessionNumber session);
 
-  /// Keeps a command of a session that waits for a configuration. @return false if it does not
-  /// wait.
+  /// Queues a command of a session that waits for a configuration. @return false if the session
+  /// does not wait.
   bool QueueCommand(SessionNumber session, const CallerCommand& command);
 
   /// @return true if another daemon serves the session.
@@ -57,11 +58,11 @@
 
   relay::relayed_sessions& Sessions() { return sessions_; }
   const relay::relayed_sessions& Sessions() const { return sessions_; }
-  /// @return how many sessions were refused because no region may run them.
+  /// @return how many sessions were rejected because no known region is allowed for them.
   std::uint64_t RefusedOutsideRegions() const { return refused_outside_regions_; }
   std::size_t SessionCount() const { return sessions_.size() + awaiting_configuration_.size(); }
 
-  /// @return true if a session that was handed over waits for a later configuration.
+  /// @return true if a session that was handed over waits for a newer configuration.
   bool AwaitsConfiguration() const { return !awaiting_configuration_.empty(); }
 
   void Tick(common::Instant now);
@@ -81,28 +82,29 @@
   void note_ending(std::size_t sessions, const char* reason) override;
 
  private:
-  /// A session's first message.
+  /// A session that was started, with its first message and queued commands.
   struct StartRequest {
     std::string database;
-    tenants::key_digest key;                   // by which the caller is known
-    std::uint64_t required_configuration = 0;  // waits for this version
+    tenants::key_digest key;                   // identifies the caller
+    std::uint64_t required_configuration = 0;  // minimum version in force
     common::Instant arrived{0};
-    bool accepts_end_request = false;       // the daemon that handed it over
-    std::vector<CallerCommand> commands{};  // that came before it was taken
+    bool accepts_end_request = false;       // the daemon ends it when idle if asked to
+    std::vector<CallerCommand> commands{};  // that arrived before it was accepted
   };
 
-  /// Refuses a session whose work may run in no region, before it asks any daemon for anything.
+  /// Rejects a session whose work may run in no known region, before any other daemon is involved.
   void RefuseOutsideRegions(SessionNumber session, const std::string& database);
   /// Serves a session that was handed over, or declines it.
   void ServeOrDecline(SessionNumber session, const StartRequest& start, common::Instant now);
-  /// @return true if daemons of the zone may hold requests of the database's callers.
+  /// @return true if daemons of the zone may process requests of the database's callers.
   bool MayProcessIn(const std::string& database, const tenants::key_digest& key,
                     const std::string& zone) const;
-  /// Ends sessions handed over whose requests may not be held here any more.
+  /// Ends sessions handed over whose requests may no longer be processed in this zone.
   void EndSessionsOutsideRegions(common::Instant now);
   bool HasRecentHeartbeat(const std::string& daemon, common::Instant now) const;
   bool IsOwnedElsewhere(const std::string& database) const;
-  /// @return true if callers of the database can't be admitted here for want of proof.
+  /// @return true if callers of the database can't be admitted here because the configuration is
+  /// not proven.
   bool LacksProof(const std::string& database, common::Instant now) const;
   std::string ServiceOf(const std::string& database) const;
 
@@ -117,9 +119,8 @@
   const model::Configuration* configuration_ = nullptr;
   relay::relayed_sessions sessions_;
   std::map<SessionNumber, StartRequest> relayed_starts_;  // first messages of relayed sessions
-  std::map<SessionNumber, StartRequest>
-      awaiting_configuration_;  // handed over, waiting for their configuration
-  /// Since when sessions handed over may be here whose requests may not be held here.
+  std::map<SessionNumber, StartRequest> awaiting_configuration_;  // handed over
+  /// Time since which there may be sessions handed over whose requests may not be processed here.
   std::optional<common::Instant> outside_regions_since_;
   std::uint64_t refused_outside_regions_ = 0;
 };
--- a/tests/proxy/proxy_evacuation_test.cc
+++ b/tests/proxy/proxy_evacuation_test.cc
@@ -1,4 +1,4 @@
-// How a daemon learns of evacuated zones, and what it tells others.
+// Tests of how a daemon learns of evacuated zones and what it sends to others.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -27,7 +27,8 @@
   return settings;
 }
 
-/// A daemon that knows one other, which heard all its messages; its store answers as told.
+/// A daemon with one peer, which receives all its messages. The test answers its reads of the
+/// store.
 struct EvacuationFixture {
   EvacuationFixture() { Advance(Duration(0)); }
 
@@ -53,7 +54,7 @@
     }
   }
 
-  /// The other daemon tells a view of this age.
+  /// Delivers a heartbeat of the other daemon with a view of this age.
   void ReceiveView(std::uint64_t revision, const std::vector<std::string>& zones, Duration age) {
     PeerMessage message;
     message.name = "other";
@@ -70,7 +71,7 @@
     CollectActions();
   }
 
-  /// Answers the newest question.
+  /// Answers the newest read.
   void AnswerRead(metadata::ReadStatus status, const model::Revision& revision,
                   const std::vector<std::string>& zones) {
     metadata::ReadResult result;
@@ -97,11 +98,12 @@
 
 }  // namespace
 
-TEST_CASE("A view heard is placed by our own message, and told on with its age",
+TEST_CASE("A received view is dated by this daemon's own message and forwarded with its age",
           "[proxy][evacuation]") {
   EvacuationFixture fixture;
-  fixture.ReceiveView(5, {},
-                      milliseconds(100));  // the other has not heard us: nothing to count from
+  fixture.ReceiveView(
+      5, {},
+      milliseconds(100));  // the peer has confirmed no message yet: the age has no reference
   CHECK_FALSE(fixture.proxy.Evacuations().known());
   REQUIRE_FALSE(fixture.sent_messages.empty());
   const Instant sent_at = fixture.now;
@@ -117,7 +119,7 @@
   CHECK(message.age == milliseconds(200));
 }
 
-TEST_CASE("An evacuation, and its end, is told at once", "[proxy][evacuation]") {
+TEST_CASE("An evacuation and its end are sent at once", "[proxy][evacuation]") {
   EvacuationFixture fixture;
   fixture.ReceiveView(5, {}, Duration(0));
   fixture.ReceiveView(5, {}, Duration(0));
@@ -137,7 +139,7 @@
   CHECK(fixture.Logged("evacuation_over"));
 }
 
-TEST_CASE("Evacuations are read by a list that is never old", "[proxy][evacuation]") {
+TEST_CASE("Evacuations are read by a list that is never stale", "[proxy][evacuation]") {
   EvacuationFixture fixture;
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
@@ -151,7 +153,7 @@
   CHECK(fixture.proxy.Evacuations().newest()->read_at == asked_at);
 }
 
-TEST_CASE("A store that refuses or forgets the read changes nothing", "[proxy][evacuation]") {
+TEST_CASE("A failed read of the store changes nothing", "[proxy][evacuation]") {
   EvacuationFixture fixture;
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
@@ -162,10 +164,10 @@
   CHECK_FALSE(fixture.proxy.Evacuations().known());
   CHECK(fixture.Logged("evacuations_read_failed"));
   fixture.Advance(milliseconds(810));
-  CHECK(fixture.reads.size() == 2);  // it asks again
+  CHECK(fixture.reads.size() == 2);  // it reads again
 }
 
-TEST_CASE("Without a limit nothing is asked or told", "[proxy][evacuation]") {
+TEST_CASE("Without an evacuation limit nothing is read from the store", "[proxy][evacuation]") {
   ProxySettings settings;
   settings.name = "self";
   settings.peer = {"10.0.0.1", 7440};
@@ -185,7 +187,8 @@
   CHECK(reads == 0);
 }
 
-TEST_CASE("A heartbeat's view survives its encoding", "[proxy][evacuation]") {
+TEST_CASE("The evacuation view of a heartbeat is encoded and decoded unchanged",
+          "[proxy][evacuation]") {
   PeerMessage message;
   message.evacuations = {12, {"north", "south"}, milliseconds(340)};
   const auto decoded = DecodePeerMessage(EncodePeerMessage(message));
@@ -216,7 +219,7 @@
   };
   answer_next(440, {});
   CHECK(fixture.proxy.Evacuations().evacuated("north"));
-  // It was written again, and is taken back at a revision below the one known of before.
+  // It was written again, and is withdrawn at a revision below the one known before.
   fixture.Advance(std::chrono::seconds(3));
   answer_next(441, {"north"});
   CHECK(fixture.proxy.Evacuations().evacuated("north"));
--- a/tests/proxy/proxy_stop_test.cc
+++ b/tests/proxy/proxy_stop_test.cc
@@ -1,4 +1,4 @@
-// The planned stop of a daemon, as its callers see it.
+// Tests of a daemon's planned stop, as its callers observe it.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -17,11 +17,11 @@
 
 constexpr Instant kStart{100'000'000};
 constexpr Duration kMillisecond{1'000};
-/// Longer than any test: nothing ends for want of time.
+/// Longer than any test: nothing times out.
 constexpr std::chrono::minutes kNoTimeout{10};
 
-/// A daemon that is alone before a service with one instance and one without any. The store answers
-/// at once, the instance tells that it leads and is at work on all else.
+/// A single daemon with a service of one instance and a service without instances. The store
+/// answers at once. The instance reports that it is the primary and leaves statements running.
 struct StoppingDaemon {
   explicit StoppingDaemon(bool has_store = true) : proxy(MakeSettings(), 1), has_store(has_store) {
     configuration.version = 1;
@@ -100,7 +100,7 @@
 
   void AnswerRead(const ReadCatalog& read) {
     if (read.read.after_revision || !has_store) {
-      return;  // nothing changes, or nobody answers
+      return;  // nothing changes, or the store does not answer
     }
     metadata::ReadResult result{metadata::ReadStatus::kOk, 5, {}};
     if (read.read.collection == model::Collection::kConfiguration) {
@@ -124,7 +124,7 @@
     TakeActions();
   }
 
-  /// The instance answers a statement.
+  /// Answers a statement as the instance.
   void AnswerStatement(const std::string& id, model::TransactionState state) {
     model::Reply reply;
     reply.succeeded = true;
@@ -138,7 +138,7 @@
     TakeActions();
   }
 
-  /// @return the codes of the session's refusals.
+  /// @return the error codes of the session's failed commands.
   std::vector<model::ErrorCode> Refusals(SessionNumber session) {
     std::vector<model::ErrorCode> codes;
     for (const model::Reply& reply : answers[session]) {
@@ -158,20 +158,20 @@
   std::map<SessionNumber, CloseSession> closes;
   std::set<SessionNumber> closed;
   int closed_twice = 0;
-  std::map<std::string, ConnectionNumber> running;  // by request
-  bool refuses_connections = false;                 // they open for ever
+  std::map<std::string, ConnectionNumber> running;  // by request id
+  bool refuses_connections = false;                 // connections stay opening for ever
   int exits = 0;
-  int actions_after_exit = 0;  // words to callers that came too late to be carried out
+  int actions_after_exit = 0;  // actions for callers emitted after Exit, too late to be carried out
 };
 
 using Codes = std::vector<model::ErrorCode>;
 
 }  // namespace
 
-TEST_CASE("Each command that a forced end cuts short is answered with what is known of it",
+TEST_CASE("Each command cut off by a forced exit gets an error that says whether it ran",
           "[proxy][stop]") {
-  // 0.9 s before the process is killed a daemon ends with whatever is under way. Its callers'
-  // connections were closed without a word, so that none of them could know whether to ask again.
+  // 0.9 s before the process is killed a daemon exits, whatever is in progress. If it closes its
+  // callers' connections without an error, no caller can know whether to retry.
   StoppingDaemon daemon;
   daemon.StartSession(1);
   daemon.StartSession(2);
@@ -223,14 +223,14 @@
   CHECK(daemon.closed_twice == 0);
 }
 
-TEST_CASE("A session that begins while a daemon closes is served or refused and nothing between",
+TEST_CASE("A session that begins while a daemon closes is either served or rejected",
           "[proxy][stop]") {
-  // A daemon that was told to stop ends its sessions as they rest from 2.3 s on, and goes on taking
-  // new ones. Such a session was accepted and ended by the next tick, 10 ms at most, as one that
-  // rests: its first command crossed the end, was read by nobody, and the caller could not know.
+  // From 2.3 s after the stop signal a daemon ends idle sessions and still accepts new ones. If the
+  // next tick, at most 10 ms later, ends a new session as idle, its first command crosses the
+  // close: it is never read, and the caller can't know.
   StoppingDaemon daemon;
   daemon.StartSession(1);
-  daemon.SendCommand(1, model::CommandKind::kWrite, "long");  // keeps the daemon from its end
+  daemon.SendCommand(1, model::CommandKind::kWrite, "long");  // keeps the daemon from exiting
   daemon.Run(10 * kMillisecond);
   REQUIRE(daemon.running.contains("long"));
   daemon.Stop();
@@ -238,7 +238,7 @@
 
   daemon.StartSession(2);
   daemon.StartSession(3);
-  daemon.Run(60 * kMillisecond);  // until the caller's first command comes
+  daemon.Run(60 * kMillisecond);  // until the caller's first command arrives
   CHECK(daemon.closes.empty());
   daemon.SendCommand(2, model::CommandKind::kSet, "first");
   CHECK(daemon.answers[2].size() == 1);
@@ -246,10 +246,11 @@
   CHECK(daemon.closes.contains(2));
   CHECK_FALSE(daemon.closes.contains(3));
   daemon.Run(50 * kMillisecond);
-  CHECK(daemon.closes.contains(3));  // its caller says nothing
+  CHECK(daemon.closes.contains(3));  // its caller sends nothing
   CHECK_FALSE(daemon.closes[3].with_error);
 
-  // Too late for a command to come before only last answers are awaited, and then until the end.
+  // Too late for a first command before the daemon waits only for last answers, and from then on
+  // until it exits.
   for (const SessionNumber session : {4, 5}) {
     daemon.Run(400 * kMillisecond);
     daemon.StartSession(session);
@@ -264,8 +265,9 @@
   CHECK(daemon.exits == 1);
 }
 
-TEST_CASE("A session that waits for a configuration is told of the stop", "[proxy][stop]") {
-  // It was counted as one that rests, and its caller's connection closed without a word.
+TEST_CASE("A session that waits for a configuration gets an error at the stop", "[proxy][stop]") {
+  // A session that waits for a configuration must not be closed without an error as if it were
+  // idle.
   StoppingDaemon daemon(false);
   daemon.Stop();
   daemon.Run(2'000 * kMillisecond);
@@ -278,8 +280,8 @@
   CHECK(daemon.closes[1].error_text == "retry_after_ms=250 the daemon stops");
 }
 
-TEST_CASE("A statement that was sent once is not said to be unrun", "[proxy][stop]") {
-  // The first statement of a transaction goes out again, also a write: it may have been at work.
+TEST_CASE("A statement that was sent once is not reported as not run", "[proxy][stop]") {
+  // The first statement of a transaction is sent again, even a write: it may have been running.
   StoppingDaemon daemon;
   daemon.StartSession(1);
   daemon.SendCommand(1, model::CommandKind::kBegin, "begin");
@@ -287,7 +289,7 @@
   daemon.Run(10 * kMillisecond);
   daemon.AnswerStatement("begin", model::TransactionState::kOpen);
   REQUIRE(daemon.running.contains("first"));
-  daemon.entry.primary = false;  // nobody leads: it can't be sent again
+  daemon.entry.primary = false;  // there is no primary: it can't be sent again
   daemon.proxy.ConnectionClosed(daemon.running.at("first"), daemon.now);
   daemon.refuses_connections = true;
   daemon.TakeActions();
@@ -303,10 +305,11 @@
 
 TEST_CASE("Commands that were read together are all answered while a daemon closes",
           "[proxy][stop]") {
-  // The answer to the first ends the session, which rests then; the second was read with it.
+  // The answer to the first command ends the session, which is idle then; the second was read
+  // together with the first.
   StoppingDaemon daemon;
   daemon.StartSession(1);
-  daemon.SendCommand(1, model::CommandKind::kWrite, "long");  // keeps the daemon from its end
+  daemon.SendCommand(1, model::CommandKind::kWrite, "long");  // keeps the daemon from exiting
   daemon.Run(10 * kMillisecond);
   daemon.Stop();
   daemon.Run(2'400 * kMillisecond);
--- a/tests/proxy/proxy_test.cc
+++ b/tests/proxy/proxy_test.cc
@@ -41,9 +41,9 @@
 
 }  // namespace
 
-TEST_CASE("A daemon that has just come is answered at once", "[proxy]") {
-  // Found by trouble-1 of the new site: after a loss of power the last daemon to return learned of
-  // the primaries a second later, when its silent address was due to be tried again.
+TEST_CASE("The first message of a started daemon is answered at once", "[proxy]") {
+  // After a loss of power the last daemon to restart must not wait up to a second for the
+  // primaries, until the next message to its unresponsive address is due.
   Proxy proxy(MakeSettings(), 1);
   proxy.Tick(kStart);
   proxy.TakeActions();
@@ -57,7 +57,7 @@
 
 namespace {
 
-/// A daemon that is alone before one service; answers its calls to the store.
+/// A single daemon with one service; answers its calls to the store.
 struct SingleDaemon {
   explicit SingleDaemon(Duration warm_up_time) : proxy(MakeSettings(), 1) {
     configuration.version = 1;
@@ -69,7 +69,7 @@
     entry.service = "ledger";
   }
 
-  /// Lets time pass. Every call to the store is answered at once, every connection opens.
+  /// Advances the time. Every call to the store is answered at once, every connection opens.
   void Run(Duration time) {
     for (const Instant end = now + time; now < end; now += kTick) {
       proxy.Tick(now);
@@ -113,17 +113,16 @@
 
 }  // namespace
 
-TEST_CASE("A daemon that starts before warm instances takes them for warm soon",
-          "[proxy][warm_up]") {
+TEST_CASE("A starting daemon soon counts warm instances as warm", "[proxy][warm_up]") {
   SingleDaemon daemon(Duration(6'000'000));
-  daemon.Run(Duration(2'300'000));  // connections open when the other daemons had time to greet
+  daemon.Run(Duration(2'300'000));  // connections open after the others' first heartbeats
   REQUIRE(daemon.connection != 0);
   CHECK(daemon.proxy.ColdInstances() == 0);
   daemon.Run(Duration(2'000'000));
   CHECK(daemon.proxy.ColdInstances() == 0);
 }
 
-TEST_CASE("A daemon that starts knows of a cold instance by its entry", "[proxy][warm_up]") {
+TEST_CASE("A starting daemon recognizes a cold instance by its entry", "[proxy][warm_up]") {
   SingleDaemon daemon(Duration(6'000'000));
   daemon.entry.warm_up_left = Duration(4'000'000);
   daemon.Run(Duration(3'000'000));
@@ -132,7 +131,7 @@
   CHECK(daemon.proxy.ColdInstances() == 0);
 }
 
-TEST_CASE("An instance whose only connection broke is spared for the whole time",
+TEST_CASE("An instance whose only connection broke counts as cold for the whole warm-up time",
           "[proxy][warm_up]") {
   SingleDaemon daemon(Duration(6'000'000));
   daemon.Run(Duration(4'000'000));
@@ -144,7 +143,7 @@
   CHECK(daemon.proxy.ColdInstances() == 0);
 }
 
-TEST_CASE("Without a warm-up a list is read again for the groups' members alone, and none is cold",
+TEST_CASE("Without a warm-up instances are listed again only for group members and none is cold",
           "[proxy][warm_up]") {
   SingleDaemon daemon(Duration(0));
   daemon.entry.warm_up_left = Duration(4'000'000);
@@ -158,7 +157,7 @@
 
 namespace {
 
-/// Answers all calls for lists and watches from an empty store of an era.
+/// Answers all lists and watches from an empty store of an era.
 /// @return the call by which the daemon wrote its entry, if it did.
 std::optional<CallNumber> AnswerCalls(Proxy& proxy, std::uint64_t era, Instant now) {
   std::optional<CallNumber> registered;
@@ -187,10 +186,9 @@
 
 }  // namespace
 
-TEST_CASE("A daemon whose entry may have gone with the store's history registers again",
-          "[proxy]") {
-  // A store that had returned from an older copy no longer listed a daemon that had registered
-  // since; it held leases all the same, which nobody who replaced a primary waited for.
+TEST_CASE("A daemon registers again if its entry may be lost with the store's history", "[proxy]") {
+  // A store restored from an older copy no longer lists a daemon that registered after the copy.
+  // The daemon still holds leases, and without its entry no promotion waits for them.
   Proxy proxy(MakeSettings(), 1);
   Instant now = kStart;
   const auto first = Registration(proxy, 1, now);
--- a/tests/proxy/read_placement_test.cc
+++ b/tests/proxy/read_placement_test.cc
@@ -12,7 +12,7 @@
 
 constexpr Instant kStart{100'000'000};
 
-/// Instances "p" (primary), "a" in the daemon's zone, "b" in another.
+/// Instances "p" (primary), "a" in the daemon's zone and "b" in another zone.
 struct PlacementFixture {
   PlacementFixture() {
     settings.zone = "near";
@@ -49,7 +49,8 @@
 
 }  // namespace
 
-TEST_CASE("An instance of another region comes behind one of another zone", "[proxy][regions]") {
+TEST_CASE("An instance of another region is ranked behind one of another zone",
+          "[proxy][regions]") {
   PlacementFixture fixture;
   fixture.Add("c", "abroad");
   fixture.settings.region = "home";
@@ -64,7 +65,7 @@
   CHECK(places[2].instance == "c");
 }
 
-TEST_CASE("A replica of the own zone comes first, with the position it must hold", "[proxy]") {
+TEST_CASE("A replica of the own zone is ranked first, with its required position", "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
   const auto places = fixture.Candidates(BoundedRead(kStart + Duration(100'000)), kStart);
@@ -92,7 +93,7 @@
   REQUIRE(own);
   CHECK(own->position == Position{1, 45});
   CHECK(own->is_own_commit);
-  // A later sample covers the commit, also if its own position was rolled back in between.
+  // A later sample covers the commit, even if the commit's position was rolled back in between.
   fixture.group.history.Add({kStart + Duration(6'000), Position{1, 43}});
   const auto covered =
       ReadPlacement::FindRequirement(fixture.group, read, kStart + Duration(10'000));
@@ -100,7 +101,7 @@
   CHECK(covered->position == Position{1, 43});
 }
 
-TEST_CASE("A replica that refused as lagging is left for later, until the memory fades",
+TEST_CASE("A replica that rejected a read as lagging is ranked last until the record expires",
           "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
@@ -112,7 +113,7 @@
   CHECK(fixture.backends.Find("a")->ExpectedFresh(Duration(100'000), later));
 }
 
-TEST_CASE("An instance that leaves serves only if no other can, and not past its limit",
+TEST_CASE("A draining instance serves only if no other can, and not past the drain limit",
           "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
--- a/tests/proxy/session_relay_test.cc
+++ b/tests/proxy/session_relay_test.cc
@@ -24,7 +24,7 @@
   return configuration;
 }
 
-/// A daemon of six in one zone, of which one owns the service.
+/// One of six daemons in a zone, one of which owns the service.
 struct RelayFixture {
   explicit RelayFixture(const std::string& self) : roles(self, Policy()) {
     std::vector<relay::member> members;
@@ -53,7 +53,7 @@
   static std::string Owner() { return RelayFixture("").roles.owners("group").front(); }
   static std::string NonOwner() { return Owner() == "a" ? "b" : "a"; }
 
-  /// @return the first action of a kind since the last call.
+  /// @return the first action of the type since the last call.
   template <typename Kind>
   std::optional<Kind> FirstAction() {
     std::optional<Kind> first;
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-TEST_CASE("A session goes to the owner with the version in force", "[proxy]") {
+TEST_CASE("A session is relayed to the owner with the configuration version in force", "[proxy]") {
   RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -99,7 +99,7 @@
   CHECK(fixture.relay->Relays(kSession));
 }
 
-TEST_CASE("A caller whose link is lost gets the answer before the close", "[proxy]") {
+TEST_CASE("A caller whose link is lost gets an error before the close", "[proxy]") {
   RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -142,7 +142,7 @@
   CHECK_FALSE(fixture.relay->Relays(kSession));
 }
 
-TEST_CASE("A session handed over waits for the version that it needs", "[proxy]") {
+TEST_CASE("A session handed over waits for its required configuration version", "[proxy]") {
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration older = ConfigurationOf(4);
   fixture.Configure(older);
@@ -155,7 +155,7 @@
   CHECK_FALSE(fixture.relay->AwaitsConfiguration());
 }
 
-TEST_CASE("A session whose version does not come is declined without a word", "[proxy]") {
+TEST_CASE("A session whose configuration does not arrive is declined without an error", "[proxy]") {
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration older = ConfigurationOf(4);
   fixture.Configure(older);
@@ -166,7 +166,7 @@
   CHECK_FALSE(closed->with_error);
 }
 
-TEST_CASE("Without an owner that is heard the session is served here", "[proxy]") {
+TEST_CASE("Without a reachable owner the session is served here", "[proxy]") {
   RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -174,7 +174,7 @@
   CHECK(fixture.FirstAction<AcceptSession>());
 }
 
-TEST_CASE("An unknown database is refused where the caller is", "[proxy]") {
+TEST_CASE("An unknown database is rejected by the caller's own daemon", "[proxy]") {
   RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -185,7 +185,8 @@
 }
 
 TEST_CASE("A daemon that ceased to own a service ends its own callers' sessions first", "[proxy]") {
-  // Who handed a session over ends it; only later this daemon does, should the other not.
+  // The daemon that handed a session over ends it. This daemon does so only later, if the other has
+  // not.
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -204,9 +205,10 @@
 }
 
 TEST_CASE("An owner asks the other daemon to end a session that was handed over", "[proxy]") {
-  // Of 238 commands that found their link "closed by the other side" in three runs of planned
-  // stops, 122 did 1 to 2 s after the owner's own stop signal, when it took itself for an owner no
-  // more, and 20 at 2 to 3 s, when it ended what rests: the next command was on the link.
+  // An owner that closes idle sessions itself loses commands that are on the link. Of 238 commands
+  // whose link was "closed by the other side" in three runs of planned stops, 122 failed 1 to 2 s
+  // after the owner's stop signal, when it stopped counting itself as an owner, and 20 at 2 to 3 s,
+  // when it ended idle sessions.
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -225,7 +227,7 @@
       }
     }
   };
-  // Once; a daemon of an earlier version would not understand it.
+  // The request is sent once, and not to a daemon of an earlier version, which does not know it.
   fixture.dispatcher.CloseResting(false, kStart);
   fixture.dispatcher.CloseResting(false, kStart + kLong);
   collect();
@@ -250,7 +252,7 @@
   }
 }
 
-TEST_CASE("An owner ends itself what the other daemon has not ended when asked", "[proxy]") {
+TEST_CASE("An owner ends a session that the other daemon did not end when asked", "[proxy]") {
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -265,7 +267,7 @@
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-/// A daemon whose zone lies in "south", and a route that may run in the regions given.
+/// A daemon whose zone is in region "south", and a route with the given allowed regions.
 struct RegionsFixture : RelayFixture {
   RegionsFixture(const std::string& self, const std::vector<std::string>& allowed)
       : RelayFixture(self) {
@@ -286,7 +288,7 @@
   model::Configuration configuration;
 };
 
-TEST_CASE("A session that may not leave for an owner is served where its caller is",
+TEST_CASE("A session that may not run in the owner's region is served by the caller's own daemon",
           "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::NonOwner(), {"north"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
@@ -294,7 +296,7 @@
   CHECK(fixture.FirstAction<AcceptSession>());
 }
 
-TEST_CASE("A session that may run nowhere is refused at once with a time to come back",
+TEST_CASE("A session that may run in no region is rejected at once with a retry-after",
           "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::NonOwner(), {"abroad"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
@@ -305,7 +307,7 @@
   CHECK_FALSE(fixture.relay->Relays(kSession));
 }
 
-TEST_CASE("An owner declines a session whose requests it may not hold", "[proxy][regions]") {
+TEST_CASE("An owner declines a session whose requests it may not process", "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"north"});
   fixture.HandOver();
   const auto closed = fixture.FirstAction<CloseSession>();
@@ -314,7 +316,8 @@
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("An owner declines by the configuration that a session waited for", "[proxy][regions]") {
+TEST_CASE("An owner applies the configuration that a session waited for when it declines",
+          "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 6}, kStart);
   fixture.configuration.version = 6;
@@ -324,7 +327,8 @@
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("An owner ends the sessions handed over that it may no longer hold", "[proxy][regions]") {
+TEST_CASE("An owner ends the sessions handed over that it may no longer process",
+          "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
   REQUIRE(fixture.FirstAction<AcceptSession>());
@@ -340,9 +344,9 @@
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("An owner leaves it to the other daemon to end in time what rests outside its regions",
+TEST_CASE("An owner lets the other daemon end idle sessions outside its regions first",
           "[proxy][regions]") {
-  // The next command may be on the link already: only the daemon that passes it on knows.
+  // The next command may already be on the link. Only the daemon that forwards it knows.
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
   REQUIRE(fixture.FirstAction<AcceptSession>());
@@ -355,7 +359,8 @@
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("A session of a caller of this daemon stays when regions change", "[proxy][regions]") {
+TEST_CASE("A session of this daemon's own caller continues when regions change",
+          "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
   REQUIRE(fixture.FirstAction<AcceptSession>());
@@ -378,8 +383,9 @@
   CHECK(fixture.FirstAction<AnswerCaller>());
 }
 
-TEST_CASE("An owner answers what it cuts short at the deadline of a move", "[proxy][regions]") {
-  // The other daemon can only say of a write that it is in doubt; this one knows that it never ran.
+TEST_CASE("An owner answers the commands that it cuts off at the deadline of a move",
+          "[proxy][regions]") {
+  // The other daemon can only report a write as in doubt; this one knows that it never ran.
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
   REQUIRE(fixture.FirstAction<AcceptSession>());
@@ -398,10 +404,9 @@
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("A session that was just accepted keeps its time for a first command at a guest's end",
-          "[proxy]") {
-  // Served here for want of an owner, or handed over by a daemon whose view is behind: the service
-  // has been foreign for long, the session is new.
+TEST_CASE("A new session of an unowned service keeps its time for a first command", "[proxy]") {
+  // The session was served here because no owner was reachable, or handed over by a daemon with an
+  // outdated view. The service has long been owned by others, but the session is new.
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
