--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -517,9 +517,9 @@
   const bool needed = large_deployment_
                           ? needed_in_large
                           : catalog_.Configuration().version == 0 || without_instances;
-  const common::Duration fetch_delay = settings_.first_start ? kFirstFetchAfter : kFetchAfter;
+  const common::Duration store_wait = settings_.first_start ? kFirstFetchAfter : kFetchAfter;
   const bool waiting = fetch_call_ || now < fetch_not_before_ || now < full_fetch_not_before_ ||
-                       now < *started_at_ + fetch_delay;
+                       now < *started_at_ + store_wait;
   if (!needed || waiting || settings_.seed_catalogs.empty()) {
     return;
   }
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -64,13 +64,13 @@
 void Proxy::ApplyEvacuations(const PeerMessage& message,
                              const std::optional<common::Instant>& counted_from,
                              common::Instant now) {
-  const evacuation::view_message& received = message.evacuations;
-  if (!EvacuationsEnabled() || !counted_from || !received.age) {
+  const evacuation::view_message& peer_view = message.evacuations;
+  if (!EvacuationsEnabled() || !counted_from || !peer_view.age) {
     return;
   }
-  ApplyEvacuations({received.revision,
-                    {received.zones.begin(), received.zones.end()},
-                    *counted_from - *received.age},
+  ApplyEvacuations({peer_view.revision,
+                    {peer_view.zones.begin(), peer_view.zones.end()},
+                    *counted_from - *peer_view.age},
                    message.name, now);
 }
 
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -286,10 +286,10 @@
     message.interval =
         partner && (alive || membership_.find(peer.name) != nullptr) ? peer.pace : kDeadPeerPause;
   } else {
-    const bool starting = now < *started_at_ + kStartupTime;
-    message.interval = alive      ? settings_.heartbeat_interval
-                       : starting ? kStartupDeadPeerPause
-                                  : kDeadPeerPause;
+    const bool in_startup = now < *started_at_ + kStartupTime;
+    message.interval = alive        ? settings_.heartbeat_interval
+                       : in_startup ? kStartupDeadPeerPause
+                                    : kDeadPeerPause;
   }
   AddTenantState(peer, message, now);
   AddEvacuations(message, now);
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -49,18 +49,18 @@
 }
 
 warm_up::hearing Proxy::CountReachableDaemons(common::Instant now) const {
-  warm_up::hearing counts;
-  counts.alive = LiveMembers(now).size();
-  counts.listed = catalog_.Daemons().size();
-  counts.lately = large_deployment_ ? membership_.live_within(kReachableWithin, now)
-                                    : peers_.HeardWithin(kReachableWithin, now) + 1;
+  warm_up::hearing daemons;
+  daemons.alive = LiveMembers(now).size();
+  daemons.listed = catalog_.Daemons().size();
+  daemons.lately = large_deployment_ ? membership_.live_within(kReachableWithin, now)
+                                     : peers_.HeardWithin(kReachableWithin, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.Alive(peer, now)) {
-      ++counts.direct;
-      counts.direct_hearing += now < peer.confirmed + kConfirmedAge ? 1 : 0;
+      ++daemons.direct;
+      daemons.direct_hearing += now < peer.confirmed + kConfirmedAge ? 1 : 0;
     }
   }
-  return counts;
+  return daemons;
 }
 
 void Proxy::UpdateWarmUpRole(common::Instant now) {
@@ -102,8 +102,8 @@
     const auto state = warm_up_.instances().find(entry, now);
     const auto since = cold_since_.find(id);
     // A daemon that had no connection to an instance for a while reads its entry each time.
-    const bool known = state && !warm_up::awaits_entries(*state, now);
-    if (known && since == cold_since_.end()) {
+    const bool known_cold = state && !warm_up::awaits_entries(*state, now);
+    if (known_cold && since == cold_since_.end()) {
       cold_since_[id] = now;
       outbox_.Log("instance_cold", {{"instance", id},
                                     {"service", entry.service},
--- a/tests/proxy/proxy_evacuation_test.cc
+++ b/tests/proxy/proxy_evacuation_test.cc
@@ -167,7 +167,7 @@
   CHECK(fixture.reads.size() == 2);  // it reads again
 }
 
-TEST_CASE("Without an evacuation limit nothing is read from the store", "[proxy][evacuation]") {
+TEST_CASE("Without an evacuation limit no evacuations are read", "[proxy][evacuation]") {
   ProxySettings settings;
   settings.name = "self";
   settings.peer = {"10.0.0.1", 7440};
--- a/tests/proxy/proxy_stop_test.cc
+++ b/tests/proxy/proxy_stop_test.cc
@@ -75,7 +75,7 @@
           closes.erase(accepted->session);
         } else if (const auto* end = std::get_if<CloseSession>(&action)) {
           closes[end->session] = *end;
-          closed_twice += closed.insert(end->session).second ? 0 : 1;
+          closed_twice += closed_sessions.insert(end->session).second ? 0 : 1;
         }
         const bool is_for_caller = std::holds_alternative<AnswerCaller>(action) ||
                                    std::holds_alternative<CloseSession>(action);
@@ -156,7 +156,7 @@
   Instant now = kStart;
   std::map<SessionNumber, std::vector<model::Reply>> answers;
   std::map<SessionNumber, CloseSession> closes;
-  std::set<SessionNumber> closed;
+  std::set<SessionNumber> closed_sessions;
   int closed_twice = 0;
   std::map<std::string, ConnectionNumber> running;  // by request id
   bool refuses_connections = false;                 // connections stay opening for ever
@@ -211,9 +211,10 @@
   CHECK(daemon.Refusals(4) == Codes{model::ErrorCode::kBusy});
   CHECK(daemon.Refusals(5) == Codes{model::ErrorCode::kInDoubt});
   for (const SessionNumber session : {1, 4}) {
-    const auto& answers = daemon.answers[session];
-    const bool not_run = !answers.empty() && answers.back().error_text ==
-                                                 "retry_after_ms=250 not run: the daemon stops";
+    const auto& session_answers = daemon.answers[session];
+    const bool not_run =
+        !session_answers.empty() &&
+        session_answers.back().error_text == "retry_after_ms=250 not run: the daemon stops";
     CHECK(not_run);
   }
   CHECK(daemon.closes.size() == 5);
