--- a/tests/proxysim/configuration_spread_test.cc
+++ b/tests/proxysim/configuration_spread_test.cc
@@ -89,7 +89,8 @@
   cluster.Store().faults.silent = true;
   const auto owner =
       std::find_if(cluster.Daemons().begin(), cluster.Daemons().end(), [](const auto& daemon) {
-        return daemon->Decisions()->Roles().watches_any() && !daemon->Decisions()->View().is_hub();
+        return daemon->Decisions()->Roles().watches_any() &&
+               !daemon->Decisions()->Membership().is_hub();
       });
   REQUIRE(owner != cluster.Daemons().end());
   (*owner)->Kill();
