--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -23,9 +23,9 @@
 /// At a first start, time after which it is known whether the deployment is large: all daemons
 /// start within 0.3 s and send to the seeds at once.
 constexpr common::Duration kDeploymentSizeKnownAfter{800'000};
-/// Time between ticks of a daemon that serves no session, connects to no instance and has no role.
-/// What such a daemon does, relaying sessions and sending heartbeats, has time limits of 400 ms and
-/// more.
+/// Time between ticks of a daemon that serves no session, connects to no instance and is neither
+/// hub nor coordinator. What such a daemon does, relaying sessions and sending heartbeats, has time
+/// limits of 400 ms and more.
 constexpr common::Duration kIdleTick{40'000};
 /// Peers that sent a heartbeat within this time share an instance's connections.
 constexpr common::Duration kSharingAge{8'000'000};
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -47,8 +47,7 @@
 /// outage of 7 s, this costs a fifth of all charges of a day.
 inline constexpr common::Duration kNoConnectedCoordinatorLimit{10'000'000};
 
-/// One daemon's decisions about sessions, connections, failover and membership. The host must pass
-/// times that never decrease.
+/// One daemon's decisions about sessions, connections, failover and membership.
 class Proxy : private RestartObserver {
  public:
   /// @param seed seed of the random numbers that spread repeated calls over time.
--- a/src/proxy/proxy_stop.cc
+++ b/src/proxy/proxy_stop.cc
@@ -7,7 +7,7 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Time after the stop signal until load balancers no longer send callers here.
+/// Time after the stop signal until no more callers are directed to this daemon.
 constexpr common::Duration kStopNotice{2'300'000};
 /// Open transactions get the stop's time divided by this.
 constexpr int kTransactionTimeDivisor = 2;
