--- a/src/proxy/dispatcher.cc
+++ b/src/proxy/dispatcher.cc
@@ -333,10 +333,11 @@
        {"service", operation.route.service},
        {"instance", operation.instance},
        {"attempts", std::to_string(operation.attempts)},
-       {"held_ms", Milliseconds(now - operation.arrived)},
-       {"forecast_ms", operation.expected_wait ? Milliseconds(*operation.expected_wait) : ""},
+       {"held_ms", MillisecondsText(now - operation.arrived)},
+       {"forecast_ms", operation.expected_wait ? MillisecondsText(*operation.expected_wait) : ""},
        {"term", group == nullptr ? "" : std::to_string(group->lease.Newest().term)},
-       {"lease_age_ms", group == nullptr ? "" : Milliseconds(now - group->lease.Newest().started)}},
+       {"lease_age_ms",
+        group == nullptr ? "" : MillisecondsText(now - group->lease.Newest().started)}},
       LogLevel::kWarning);
   if (operation.caller_command.command.kind == model::CommandKind::kCommit) {
     EndTransaction(session, now);
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -79,7 +79,7 @@
     FailTransaction(session, now);
   }
   FinishWithError(session, pinned ? model::ErrorCode::kAborted : model::ErrorCode::kBusy,
-                  "retry_after_ms=" + Milliseconds(blocked->come_back) + " " + blocked->reason,
+                  "retry_after_ms=" + MillisecondsText(blocked->come_back) + " " + blocked->reason,
                   now);
   return true;
 }
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -64,7 +64,7 @@
   const std::string primary = groups_.UsablePrimary(service, now);
   const Backend* primary_backend = backends_.Find(primary);
   if (NeedsPrimary(session)) {
-    if (primary_backend == nullptr || !placement_.TakesWork(*primary_backend, now) ||
+    if (primary_backend == nullptr || !placement_.AcceptsWork(*primary_backend, now) ||
         access_.judge(primary_backend->Entry(), WorkOf(session), now).outcome >=
             access::verdict::later) {
       return {};
@@ -77,9 +77,10 @@
     return {at_primary};
   }
   const GroupState& group = groups_.Get(service, now);
-  const ReadNeed need{operation.route.consistency, operation.route.max_staleness,
-                      session.transaction.open ? session.transaction.began : operation.arrived,
-                      session.own_commit, session.own_commit_at};
+  const ReadParameters need{
+      operation.route.consistency, operation.route.max_staleness,
+      session.transaction.open ? session.transaction.began : operation.arrived, session.own_commit,
+      session.own_commit_at};
   return placement_.Candidates(group, primary, groups_.Members(service), need, WorkOf(session),
                                now);
 }
@@ -216,7 +217,7 @@
   operation.instance = placement.instance;
   operation.connection = connection->number;
   operation.required_position_age = placement.age;
-  operation.required_is_own_commit = placement.own;
+  operation.required_is_own_commit = placement.is_own_commit;
   ++operation.attempts;
   SendPreparation(session, backend, *connection, placement.required, now);
   return true;
@@ -450,7 +451,7 @@
                {"reason", "the instance answered with an error"},
                {"service", operation.route.service},
                {"instance", instance},
-               {"held_ms", Milliseconds(now - operation.arrived)}},
+               {"held_ms", MillisecondsText(now - operation.arrived)}},
               LogLevel::kWarning);
   if (session.transaction.open) {
     session.transaction.failed = reply.state == model::TransactionState::kFailed;
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -81,7 +81,7 @@
     admission_.limiter().note_resent(operation.tenant, now);
     outbox_.Log("request_resent", {{"request", operation.caller_command.request_id},
                                    {"instance", operation.instance},
-                                   {"waited_ms", Milliseconds(now - operation.sent)},
+                                   {"waited_ms", MillisecondsText(now - operation.sent)},
                                    {"attempt", std::to_string(operation.attempts)}});
     AbandonSentRequest(session, now);
     // The operation may wait kMinResendDelay for another instance, within the statement's time-out.
@@ -125,7 +125,7 @@
   }
   outbox_.Log("transaction_ended", {{"request", transaction.begin_request_id},
                                     {"instance", transaction.instance},
-                                    {"idle_ms", Milliseconds(now - transaction.last_active)}});
+                                    {"idle_ms", MillisecondsText(now - transaction.last_active)}});
   FailTransaction(session, now);
 }
 
@@ -275,7 +275,7 @@
       // daemon closed it: in planned stops, 209 of 238 links that owners closed on a command were
       // closed within 10 ms of that command.
       session.end_requested_at = now;
-      outbox_.Emit(AskToEnd{number});
+      outbox_.Emit(RequestSessionEnd{number});
       ++requested;
     }
     if (ends_on_request && now < *session.end_requested_at + kEndRequestTimeout) {
--- a/src/proxy/group_set.cc
+++ b/src/proxy/group_set.cc
@@ -475,7 +475,7 @@
                  {"primary", state.lease.Newest().primary},
                  {"term", std::to_string(state.lease.Newest().term)},
                  {"reason", reason},
-                 {"confirmed_ms_ago", Milliseconds(now - state.lease.Newest().started)}},
+                 {"confirmed_ms_ago", MillisecondsText(now - state.lease.Newest().started)}},
                 LogLevel::kWarning);
   } else {
     outbox_.Log("primary_regained", {{"service", state.service},
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -1,4 +1,4 @@
-// Which zones are evacuated: read from the store, heard from other daemons, told to them.
+// The proxy's view of evacuated zones: read from the store, exchanged with other daemons.
 
 #include "proxy/proxy.h"
 
@@ -6,13 +6,13 @@
 namespace {
 
 std::string AgeText(const std::optional<common::Duration>& age) {
-  return age ? Milliseconds(*age) : "none";
+  return age ? MillisecondsText(*age) : "none";
 }
 
 }  // namespace
 
 void Proxy::AdvanceEvacuations(common::Instant now) {
-  if (!FollowsEvacuations()) {
+  if (!EvacuationsEnabled()) {
     return;
   }
   const bool sends_work = Admits() || dispatcher_.SessionCount() > 0;
@@ -37,8 +37,8 @@
     return false;
   }
   evacuation_call_.reset();
-  // Evacuations that were acknowledged may not have been written again: a zone must not return to
-  // use for that.
+  // After the store returned from an older copy, acknowledged evacuations may not have been written
+  // again yet. A zone must not return to use because of that.
   const bool answered = result.status == metadata::ReadStatus::kOk &&
                         catalog_.IsComplete(evacuation_reads_.asked_at());
   const auto read_at =
@@ -57,24 +57,25 @@
   for (const model::CatalogObject& object : result.objects) {
     view.zones.insert(object.name);
   }
-  TakeEvacuations(view, "store", now);
+  ApplyEvacuations(view, "store", now);
   return true;
 }
 
-void Proxy::TakeEvacuations(const PeerMessage& message,
-                            const std::optional<common::Instant>& counted_from,
-                            common::Instant now) {
-  const evacuation::view_message& told = message.evacuations;
-  if (!FollowsEvacuations() || !counted_from || !told.age) {
+void Proxy::ApplyEvacuations(const PeerMessage& message,
+                             const std::optional<common::Instant>& counted_from,
+                             common::Instant now) {
+  const evacuation::view_message& peer_view = message.evacuations;
+  if (!EvacuationsEnabled() || !counted_from || !peer_view.age) {
     return;
   }
-  TakeEvacuations(
-      {told.revision, {told.zones.begin(), told.zones.end()}, *counted_from - *told.age},
-      message.name, now);
+  ApplyEvacuations({peer_view.revision,
+                    {peer_view.zones.begin(), peer_view.zones.end()},
+                    *counted_from - *peer_view.age},
+                   message.name, now);
 }
 
-void Proxy::TakeEvacuations(const evacuation::zone_view& view, const std::string& source,
-                            common::Instant now) {
+void Proxy::ApplyEvacuations(const evacuation::zone_view& view, const std::string& source,
+                             common::Instant now) {
   const evacuation::view_change change = evacuations_.take(view);
   evacuations_changed_ = evacuations_changed_ || !change.empty();
   for (const std::string& zone : change.begun) {
@@ -95,8 +96,8 @@
   }
 }
 
-void Proxy::TellEvacuations(PeerMessage& message, common::Instant now) const {
-  if (FollowsEvacuations()) {
+void Proxy::AddEvacuations(PeerMessage& message, common::Instant now) const {
+  if (EvacuationsEnabled()) {
     message.evacuations = evacuations_.message(now);
   }
 }
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -1,4 +1,5 @@
-// Heartbeats to the other daemons: to whom, how often, what about; and what they bring up.
+// Heartbeats of the proxy: receivers, intervals and content, and the membership and configuration
+// updates that arrive with them.
 
 #include <algorithm>
 #include <utility>
@@ -8,34 +9,34 @@
 namespace valvekeel::proxy {
 namespace {
 
-constexpr common::Duration kDeadPeerPause{1'000'000};  // between messages to a silent peer
-/// The same to daemons that may be there, while this one knows nobody.
-constexpr common::Duration kSeekPause{200'000};
-/// Least time between two introductions to a daemon: two that seek would answer each other for
-/// ever.
-constexpr common::Duration kIntroductionPause{150'000};
-/// The same in the first seconds of a life: all others may be about to come.
-constexpr common::Duration kEarlyDeadPeerPause{250'000};
-constexpr common::Duration kEarly{3'000'000};
-/// Time for which an answer of the store shows that this daemon reaches it.
-constexpr common::Duration kRecentAnswer{3'000'000};
-/// Time for the store to tell of a configuration that another daemon has in force already.
-constexpr common::Duration kAheadPause{120'000};
-/// Over which the daemons of a zone spread their fetches from its hub: 200 of 80 KB in this time
-/// are 640 Mbit/s.
+constexpr common::Duration kDeadPeerPause{1'000'000};  // between messages to an unresponsive peer
+/// The same to the seeds, while this daemon knows no other.
+constexpr common::Duration kDiscoveryPause{200'000};
+/// Minimum time between two hub lists to one daemon. Without it two daemons in discovery would
+/// answer each other endlessly.
+constexpr common::Duration kHubListPause{150'000};
+/// The same in the first seconds of an incarnation, when all others may be about to start.
+constexpr common::Duration kStartupDeadPeerPause{250'000};
+constexpr common::Duration kStartupTime{3'000'000};
+/// Time for which an answer of the store proves that this daemon reaches it.
+constexpr common::Duration kStoreAnswerValidity{3'000'000};
+/// Time for the store to deliver a configuration that another daemon already has in force.
+constexpr common::Duration kNewerConfigurationPause{120'000};
+/// Interval over which the daemons of a zone spread their fetches from its hub: 200 fetches of 80
+/// KB in this time are 640 Mbit/s.
 constexpr common::Duration kFetchSpread{200'000};
-/// Time without the newest configuration after which a daemon reads it from the store by itself:
-/// 985 of them at once kept its link of 1,000 Mbit/s busy with answers of 750 KB that nobody waited
-/// for any more, and none was ever ready.
-constexpr common::Duration kOwnReadAfter{4'000'000};
-/// Reports of groups in one message, of about 50 bytes each, and beside lists of daemons (15 KB): a
-/// datagram takes 65,507 bytes, which the reports of 1,300 groups would fill.
+/// Time without the newest configuration after which a daemon reads it from the store itself. If
+/// 985 daemons do so at once, their answers of 750 KB saturate the store's link of 1,000 Mbit/s,
+/// all calls time out, and no daemon becomes ready.
+constexpr common::Duration kDirectReadAfter{4'000'000};
+/// Maximum number of group reports in one message, alone and beside lists of daemons (15 KB). A
+/// report has about 50 bytes and a datagram at most 65,507, which 1,300 reports would fill.
 constexpr std::size_t kMostReports = 250;
 constexpr std::size_t kMostReportsBesideLists = 10;
-/// Names in a log line on daemons that were lost; the count tells of the rest.
+/// Maximum number of names in a log line on lost daemons; the count includes the others.
 constexpr std::size_t kMostNamesLogged = 8;
 
-/// @return the message but for its reports of groups, of which each receiver gets its own.
+/// @return the message without its reports of groups, which differ for each receiver.
 PeerMessage WithoutGroups(const PeerMessage& whole) {
   PeerMessage message;
   message.name = whole.name;
@@ -57,60 +58,65 @@
 
 }  // namespace
 
-void Proxy::NoteConfigurationAhead(const common::Endpoint& peer, std::uint64_t version,
-                                   common::Instant now) {
+void Proxy::RecordNewerConfiguration(const common::Endpoint& peer, std::uint64_t version,
+                                     common::Instant now) {
   const std::uint64_t own = catalog_.Configuration().version;
-  const bool has_own = own > 0 || large_;
-  newest_version_heard_ = std::max(newest_version_heard_, version);
-  if (has_own && version > own && !ahead_) {
-    ahead_ = ConfigurationAhead{peer, version, now, JitterUpTo(kFetchSpread)};
+  const bool has_own = own > 0 || large_deployment_;
+  newest_reported_version_ = std::max(newest_reported_version_, version);
+  if (has_own && version > own && !newer_configuration_) {
+    newer_configuration_ = NewerConfiguration{peer, version, now, JitterUpTo(kFetchSpread)};
   }
 }
 
-void Proxy::FetchConfigurationAhead(common::Instant now) {
-  if (ahead_ && catalog_.Configuration().version >= ahead_->version) {
-    ahead_.reset();
-  }
-  // Who reads the store itself gives it time to tell. A session that another daemon handed over
-  // waits only for a moment.
-  const bool spreads = large_ && !ReadsConfiguration(now) && !relay_.AwaitsConfiguration();
-  const common::Duration pause = spreads && ahead_ ? ahead_->spread : kAheadPause;
-  if (!ahead_ || fetching_ || now < ahead_->noted + pause || now < fetch_not_before_) {
+void Proxy::FetchNewerConfiguration(common::Instant now) {
+  if (newer_configuration_ && catalog_.Configuration().version >= newer_configuration_->version) {
+    newer_configuration_.reset();
+  }
+  // A daemon that reads the store itself allows it some time to deliver. A session handed over by
+  // another daemon waits only for a short time.
+  const bool spreads =
+      large_deployment_ && !ReadsConfiguration(now) && !session_relay_.AwaitsConfiguration();
+  const common::Duration pause = spreads && newer_configuration_ ? newer_configuration_->fetch_delay
+                                                                 : kNewerConfigurationPause;
+  if (!newer_configuration_ || fetch_call_ || now < newer_configuration_->recorded_at + pause ||
+      now < fetch_not_before_) {
     return;
   }
-  const common::Endpoint peer = ahead_->peer;
-  ahead_.reset();
-  fetching_ = outbox_.NextNumber();
-  outbox_.Emit(FetchCatalog{*fetching_, {peer.host, settings_.admin_port}, large_});
+  const common::Endpoint peer = newer_configuration_->peer;
+  newer_configuration_.reset();
+  fetch_call_ = outbox_.NextNumber();
+  outbox_.Emit(FetchCatalog{*fetch_call_, {peer.host, settings_.admin_port}, large_deployment_});
 }
 
 bool Proxy::ReadsConfiguration(common::Instant now) const {
-  if (!large_ || view_.is_hub() || (roles_.known() && roles_.meshed())) {
+  if (!large_deployment_ || membership_.is_hub() || (roles_.known() && roles_.meshed())) {
     return true;
   }
   if (roles_.known() && (roles_.coordinates() || roles_.is_deputy())) {
     return true;
   }
-  const bool lacks = lacks_configuration_since_ &&
-                     now >= *lacks_configuration_since_ + kOwnReadAfter + own_read_delay_;
-  // Nobody is heard who would tell of a newer one.
-  const bool uninformed =
-      uninformed_since_ && now >= *uninformed_since_ + kUninformedLimit + own_read_delay_;
-  return lacks || uninformed;
+  const bool outdated =
+      missing_configuration_since_ &&
+      now >= *missing_configuration_since_ + kDirectReadAfter + direct_read_delay_;
+  // No reachable daemon would report a newer one.
+  const bool no_connected_coordinator =
+      no_connected_coordinator_since_ &&
+      now >= *no_connected_coordinator_since_ + kNoConnectedCoordinatorLimit + direct_read_delay_;
+  return outdated || no_connected_coordinator;
 }
 
 void Proxy::ChooseConfigurationSource(common::Instant now) {
   const std::uint64_t own = catalog_.Configuration().version;
-  const bool lacks = own == 0 || own < newest_version_heard_;
-  if (!lacks) {
-    lacks_configuration_since_.reset();
-  } else if (!lacks_configuration_since_) {
-    lacks_configuration_since_ = now;
+  const bool outdated = own == 0 || own < newest_reported_version_;
+  if (!outdated) {
+    missing_configuration_since_.reset();
+  } else if (!missing_configuration_since_) {
+    missing_configuration_since_ = now;
   }
   catalog_.SetFollowsConfiguration(ReadsConfiguration(now));
 }
 
-common::Duration Proxy::DutyInterval(const std::string& peer) const {
+common::Duration Proxy::RoleHeartbeatInterval(const std::string& peer) const {
   if (roles_.meshed()) {
     return settings_.heartbeat_interval;
   }
@@ -143,60 +149,61 @@
   }
   partners_.clear();
   const bool owner = roles_.known() && roles_.watches_any();
-  for (const membership::member& each : view_.partners()) {
-    const bool to_hub = !view_.is_hub();
+  for (const membership::member& each : membership_.partners()) {
+    const bool to_hub = !membership_.is_hub();
     AddPartner(each.address, each.name,
                owner && to_hub ? settings_.owner_heartbeat_interval : settings_.view.hub_interval);
   }
   if (roles_.known() && (roles_.meshed() || roles_.watches_any())) {
-    for (const membership::member& each : view_.live()) {
-      const common::Duration interval = DutyInterval(each.name);
+    for (const membership::member& each : membership_.live()) {
+      const common::Duration interval = RoleHeartbeatInterval(each.name);
       if (each.name != settings_.name && interval.count() > 0) {
         AddPartner(each.address, each.name, interval);
       }
     }
   }
-  if (view_.seeks(now)) {
+  if (membership_.seeks(now)) {
     for (const common::Endpoint& seed : settings_.seed_peers) {
       if (seed != settings_.peer) {
-        AddPartner(seed, "", kSeekPause);
+        AddPartner(seed, "", kDiscoveryPause);
       }
     }
   }
   for (Peer* peer : partners_) {
-    if (view_.owes(peer->name, now)) {
+    if (membership_.owes(peer->name, now)) {
       peer->next_heartbeat = now;
     }
   }
 }
 
-void Proxy::UpdateView(common::Instant now) {
-  if (catalog_.Daemons().size() != registered_known_) {
-    registered_known_ = catalog_.Daemons().size();
+void Proxy::UpdateMembership(common::Instant now) {
+  if (catalog_.Daemons().size() != registered_count_) {
+    registered_count_ = catalog_.Daemons().size();
     std::vector<membership::member> registered;
     for (const auto& [name, daemon] : catalog_.Daemons()) {
       registered.push_back({name, daemon.zone, daemon.peer, daemon.capacity});
     }
-    view_.set_registered(std::move(registered), now);
+    membership_.set_registered(std::move(registered), now);
   }
   const std::size_t known =
-      std::max(catalog_.Daemons().size(), peers_.CountReceivedWithin(kEarly, now) + 1);
-  large_ = large_ || known > settings_.roles.most_meshed_daemons;
-  if (!large_) {
+      std::max(catalog_.Daemons().size(), peers_.CountReceivedWithin(kStartupTime, now) + 1);
+  large_deployment_ = large_deployment_ || known > settings_.roles.most_meshed_daemons;
+  if (!large_deployment_) {
     return;
   }
   ChooseConfigurationSource(now);
-  // Hubs tell who lives; the list is for those who replace primaries, and for who hears no hub.
-  catalog_.SetDiscovering(!view_.settled() || (roles_.known() && roles_.coordinates()));
-  view_.set_self(HasStore(now), stopping_since_.has_value());
-  view_.update(now);
-  LogViewChange();
+  // Hubs distribute the membership. The store's list is for daemons that replace primaries and for
+  // those that reach no hub.
+  catalog_.SetDiscovering(!membership_.settled() || (roles_.known() && roles_.coordinates()));
+  membership_.set_self(ReachesStore(now), stopping_since_.has_value());
+  membership_.update(now);
+  LogMembershipChange();
 }
 
-void Proxy::LogViewChange() {
-  const membership::view_change& change = view_.changed();
+void Proxy::LogMembershipChange() {
+  const membership::view_change& change = membership_.changed();
   if (change.hub_changed) {
-    outbox_.Log("hub_changed", {{"acts", view_.is_hub() ? "true" : "false"}});
+    outbox_.Log("hub_changed", {{"acts", membership_.is_hub() ? "true" : "false"}});
   }
   if (change.lost.empty()) {
     return;
@@ -208,39 +215,39 @@
   outbox_.Log("daemons_lost", {{"count", std::to_string(change.lost.size())},
                                {"daemons", names},
                                {"told_by", change.source},
-                               {"hub", view_.is_hub() ? "true" : "false"}});
+                               {"hub", membership_.is_hub() ? "true" : "false"}});
 }
 
-void Proxy::TakeView(const common::Endpoint& from, const PeerMessage& message,
-                     common::Instant now) {
-  large_ = large_ || message.view.large;
-  if (!large_) {
+void Proxy::ApplyMembershipMessage(const common::Endpoint& from, const PeerMessage& message,
+                                   common::Instant now) {
+  large_deployment_ = large_deployment_ || message.view.large;
+  if (!large_deployment_) {
     return;
   }
-  view_.take({message.name, message.zone, from, message.capacity, message.store_connected,
-              message.stopping},
-             message.view, message.interval, now);
+  membership_.take({message.name, message.zone, from, message.capacity, message.store_connected,
+                    message.stopping},
+                   message.view, message.interval, now);
 }
 
-bool Proxy::OwesIntroduction(const Peer& peer, common::Instant now) {
-  return peer.last_received_at && peer.looks_for_hubs &&
-         now >= peer.hubs_sent_at + kIntroductionPause;
+bool Proxy::IsHubListDue(const Peer& peer, common::Instant now) {
+  return peer.last_received_at && peer.looks_for_hubs && now >= peer.hubs_sent_at + kHubListPause;
 }
 
-bool Proxy::HasStore(common::Instant now) const {
-  if (!large_) {
+bool Proxy::ReachesStore(common::Instant now) const {
+  if (!large_deployment_) {
     return catalog_.Connected();
   }
   if (!roles_.known()) {
     return false;
   }
-  // Who makes no calls can't say whether it would be answered. That all others say so the moment
-  // the store is back would make ever other daemons coordinators.
-  return roles_.coordinates() ? catalog_.Connected()
-                              : roles_.is_deputy() && catalog_.AnsweredWithin(kRecentAnswer, now);
+  // A daemon that makes no calls can't report whether the store would answer. If all others
+  // reported it as soon as the store is back, the coordinators would keep changing.
+  return roles_.coordinates()
+             ? catalog_.Connected()
+             : roles_.is_deputy() && catalog_.AnsweredWithin(kStoreAnswerValidity, now);
 }
 
-void Proxy::TellRevisions(PeerMessage& message) const {
+void Proxy::AddRevisions(PeerMessage& message) const {
   const CatalogRevisions revisions = catalog_.Revisions();
   message.configuration_revision = revisions.configuration;
   message.instances_revision = revisions.instances;
@@ -250,52 +257,53 @@
   PeerMessage message;
   message.zone = settings_.zone;
   message.capacity = settings_.capacity;
-  message.store_connected = HasStore(now);
+  message.store_connected = ReachesStore(now);
   message.stopping = stopping_since_.has_value();
   message.configuration_version = catalog_.Configuration().version;
-  TellRevisions(message);
+  AddRevisions(message);
   message.groups = groups_.Reports(all_groups, now);
   return message;
 }
 
-bool Proxy::Concerns(const GroupReport& report, const Peer& peer) const {
+bool Proxy::NeedsReport(const GroupReport& report, const Peer& peer) const {
   if (roles_.watches(report.service, peer.name)) {
     return true;
   }
-  // Any daemon may hold a lease that must be let go; else only watchers care.
-  return large_ ? report.fence_below > 0 : report.degraded;
+  // Any daemon may hold a lease that must be released. Otherwise only watchers need the report.
+  return large_deployment_ ? report.fence_below > 0 : report.degraded;
 }
 
 void Proxy::SendHeartbeat(Peer& peer, const PeerMessage& whole, common::Instant now) {
   const bool alive = peers_.IsAlive(peer, now);
   PeerMessage message = WithoutGroups(whole);
-  if (large_) {
-    message.view = view_.message_for(peer.name, now);
-    if (OwesIntroduction(peer, now)) {
-      message.view.introduced = view_.introduction(now);
+  if (large_deployment_) {
+    message.view = membership_.message_for(peer.name, now);
+    if (IsHubListDue(peer, now)) {
+      message.view.introduced = membership_.introduction(now);
       peer.hubs_sent_at = now;
     }
     const bool partner = peer.send_interval.count() > 0;
-    message.interval = partner && (alive || view_.find(peer.name) != nullptr) ? peer.send_interval
-                                                                              : kDeadPeerPause;
+    message.interval = partner && (alive || membership_.find(peer.name) != nullptr)
+                           ? peer.send_interval
+                           : kDeadPeerPause;
   } else {
-    const bool early = now < *started_ + kEarly;
-    message.interval = alive   ? settings_.heartbeat_interval
-                       : early ? kEarlyDeadPeerPause
-                               : kDeadPeerPause;
+    const bool in_startup = now < *started_at_ + kStartupTime;
+    message.interval = alive        ? settings_.heartbeat_interval
+                       : in_startup ? kStartupDeadPeerPause
+                                    : kDeadPeerPause;
   }
-  TellTenants(peer, message, now);
-  TellEvacuations(message, now);
+  AddTenantState(peer, message, now);
+  AddEvacuations(message, now);
   peer.next_heartbeat = now + message.interval;
   SendInParts(peer, std::move(message), whole.groups, now);
 }
 
 void Proxy::SendInParts(Peer& peer, PeerMessage message, const std::vector<GroupReport>& groups,
                         common::Instant now) {
-  // Lists of daemons and many reports don't go together.
+  // Lists of daemons and many reports don't fit into one message.
   const std::size_t most = message.view.lists.empty() ? kMostReports : kMostReportsBesideLists;
   for (const GroupReport& report : groups) {
-    if (!Concerns(report, peer)) {
+    if (!NeedsReport(report, peer)) {
       continue;
     }
     if (message.groups.size() >= (message.is_continuation ? kMostReports : most)) {
@@ -304,17 +312,17 @@
       next.view.introduced.clear();
       next.is_continuation = true;
       peers_.FillHeader(peer, message, now);
-      outbox_.Emit(SendPeer{peer.address, std::move(message)});
+      outbox_.Emit(SendPeerMessage{peer.address, std::move(message)});
       message = std::move(next);
     }
     message.groups.push_back(report);
   }
   peers_.FillHeader(peer, message, now);
-  outbox_.Emit(SendPeer{peer.address, std::move(message)});
+  outbox_.Emit(SendPeerMessage{peer.address, std::move(message)});
 }
 
 std::vector<Peer*> Proxy::ReceiversOf(Receivers receivers) {
-  if (large_ && receivers != Receivers::kAll) {
+  if (large_deployment_ && receivers != Receivers::kAll) {
     return partners_;
   }
   std::vector<Peer*> all;
@@ -325,13 +333,13 @@
 }
 
 bool Proxy::IsReceiver(const Peer& peer, Receivers receivers, common::Instant now) const {
-  if (now >= peer.next_heartbeat && (!large_ || peer.send_interval.count() > 0)) {
+  if (now >= peer.next_heartbeat && (!large_deployment_ || peer.send_interval.count() > 0)) {
     return true;
   }
   if (receivers == Receivers::kDue) {
     return false;
   }
-  return large_ || peers_.IsAlive(peer, now);
+  return large_deployment_ || peers_.IsAlive(peer, now);
 }
 
 void Proxy::SendHeartbeats(Receivers receivers, bool all_groups, common::Instant now) {
@@ -347,7 +355,7 @@
   }
 }
 
-bool Proxy::TellsAll() const {
+bool Proxy::ReportsAllGroups() const {
   if (store_lease_.IsReader()) {
     return true;
   }
@@ -359,10 +367,11 @@
                      [&](const auto& group) { return groups_.IsProber(group.first); });
 }
 
-void Proxy::AdvanceHeartbeats(common::Instant now) {
-  // A heartbeat that is due soon carries more if it follows the confirmation at once.
+void Proxy::BringHeartbeatsForward(common::Instant now) {
+  // A heartbeat that is due soon is sent right after the confirmation, so that it carries more.
   for (Peer* peer : ReceiversOf(Receivers::kPartners)) {
-    const common::Duration interval = large_ ? peer->send_interval : settings_.heartbeat_interval;
+    const common::Duration interval =
+        large_deployment_ ? peer->send_interval : settings_.heartbeat_interval;
     const bool due_soon = now + interval / 2 >= peer->next_heartbeat;
     if (due_soon && peers_.IsAlive(*peer, now)) {
       peer->next_heartbeat = now;
--- a/src/proxy/proxy_stop.cc
+++ b/src/proxy/proxy_stop.cc
@@ -1,4 +1,4 @@
-// The planned stop: whose sessions end when, who is refused, when the process ends.
+// The proxy's planned stop: ends sessions, rejects new ones and exits the process.
 
 #include <algorithm>
 
@@ -7,12 +7,12 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// After the stop signal, time until callers are sent here no more.
+/// Time after the stop signal until no more callers are directed to this daemon.
 constexpr common::Duration kStopNotice{2'300'000};
-/// Part of the stop's time that open transactions get.
-constexpr int kTransactionShare = 2;
-constexpr const char* kStops = "the daemon stops";
-/// Left of the stop's time when the process ends whatever is open.
+/// Open transactions get the stop's time divided by this.
+constexpr int kTransactionTimeDivisor = 2;
+constexpr const char* kStoppingReason = "the daemon stops";
+/// Remaining part of the stop's time when the process exits, whatever is still open.
 constexpr common::Duration kExitReserve{900'000};
 
 }  // namespace
@@ -23,16 +23,16 @@
   }
   stopping_since_ = now;
   outbox_.Log("stopping", {{"sessions", std::to_string(dispatcher_.SessionCount())}});
-  JudgeReadiness(now);
-  SendHeartbeats(Receivers::kPartners, TellsAll(), now);
+  UpdateReadiness(now);
+  SendHeartbeats(Receivers::kPartners, ReportsAllGroups(), now);
 }
 
 common::Instant Proxy::TransactionsUntil() const {
-  return *stopping_since_ + settings_.stop_grace / kTransactionShare;
+  return *stopping_since_ + settings_.stop_grace / kTransactionTimeDivisor;
 }
 
-bool Proxy::TooLateForSessions(common::Instant now) const {
-  // Each that is accepted has its whole time for a first command.
+bool Proxy::IsTooLateForSessions(common::Instant now) const {
+  // Each accepted session gets the full time for a first command.
   return stopping_since_ && now >= TransactionsUntil() - relay::FIRST_COMMAND_TIME;
 }
 
@@ -40,12 +40,12 @@
                           const SessionOrigin& origin) {
   if (origin.handed_over) {
     outbox_.Log("relayed_session_declined",
-                {{"session", std::to_string(session)}, {"reason", kStops}});
+                {{"session", std::to_string(session)}, {"reason", kStoppingReason}});
     outbox_.Emit(CloseSession{session});  // without an error: another owner may take it
     return;
   }
   outbox_.Log("session_refused", {{"database", database},
-                                  {"reason", kStops},
+                                  {"reason", kStoppingReason},
                                   {"version", std::to_string(catalog_.Configuration().version)}});
   outbox_.Emit(CloseSession{session, true, model::ErrorCode::kBusy, kDaemonStoppingText});
 }
@@ -56,23 +56,23 @@
   }
   const common::Instant transactions_until = TransactionsUntil();
   const common::Instant notice_until =
-      *stopping_since_ + std::min(kStopNotice, settings_.stop_grace / kTransactionShare);
+      *stopping_since_ + std::min(kStopNotice, settings_.stop_grace / kTransactionTimeDivisor);
   const common::Instant exit_at = *stopping_since_ + settings_.stop_grace - kExitReserve;
   if (now >= notice_until) {
     dispatcher_.StartDraining();
     dispatcher_.EndAllIdleSessions(now >= transactions_until, now);
-    relay_.Sessions().start_closing(now);
+    session_relay_.Sessions().start_closing(now);
     if (now >= transactions_until) {
-      relay_.Sessions().close_idle(now);
+      session_relay_.Sessions().close_idle(now);
     }
   }
-  const std::size_t sessions = dispatcher_.SessionCount() + relay_.SessionCount();
+  const std::size_t sessions = dispatcher_.SessionCount() + session_relay_.SessionCount();
   const bool done = now >= transactions_until && sessions == 0;
   if (done || now >= exit_at) {
     exited_ = true;
     outbox_.Log("stopped", {{"sessions_left", std::to_string(sessions)}});
     dispatcher_.EndAllSessions(now);
-    relay_.Sessions().close_all();
+    session_relay_.Sessions().close_all();
     outbox_.Emit(Exit{});
   }
 }
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -1,4 +1,4 @@
-// What the rule for instances that have just started is told (warm_up/warm_up_rule.h).
+// Feeds the rule for instances that have just started (warm_up/warm_up_rule.h).
 
 #include <algorithm>
 #include <utility>
@@ -8,11 +8,13 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Daemons heard within this time count for the majority: as many as share an instance's
-/// connections. A daemon that is cut off takes itself for cut off until then.
-constexpr common::Duration kHeardLately{8'000'000};
-/// Time for which a daemon is known to be heard by another that confirmed a message. Twice the
-/// longest interval of heartbeats between daemons that exchange them (1 s), and a half for the way.
+/// Daemons that sent a heartbeat within this time count for the majority. The time equals that for
+/// sharing an instance's connections. A daemon that is cut off counts itself as cut off for this
+/// long.
+constexpr common::Duration kReachableWithin{8'000'000};
+/// Time for which a confirmed message proves that the peer receives this daemon's heartbeats. Twice
+/// the longest heartbeat interval between daemons that exchange them (1 s), and 0.5 s for the
+/// network.
 constexpr common::Duration kConfirmedAge{2'500'000};
 
 }  // namespace
@@ -23,7 +25,7 @@
   if (was_enabled || !warm_up_.enabled()) {
     return;
   }
-  // Until now nothing was noted.
+  // Nothing was recorded while the rule was disabled.
   for (const auto& [id, entry] : catalog_.Instances()) {
     warm_up_.instances().note_entry(entry, now);
   }
@@ -34,7 +36,7 @@
   }
 }
 
-void Proxy::NoteWarmUps(const CatalogUpdate& update, common::Instant now) {
+void Proxy::RecordWarmUpEntries(const CatalogUpdate& update, common::Instant now) {
   if (!warm_up_.enabled()) {
     return;
   }
@@ -46,19 +48,19 @@
   }
 }
 
-warm_up::hearing Proxy::HeardDaemons(common::Instant now) const {
-  warm_up::hearing heard;
-  heard.alive = LiveMembers(now).size();
-  heard.listed = catalog_.Daemons().size();
-  heard.lately = large_ ? view_.live_within(kHeardLately, now)
-                        : peers_.CountReceivedWithin(kHeardLately, now) + 1;
+warm_up::hearing Proxy::CountReachableDaemons(common::Instant now) const {
+  warm_up::hearing daemons;
+  daemons.alive = LiveMembers(now).size();
+  daemons.listed = catalog_.Daemons().size();
+  daemons.lately = large_deployment_ ? membership_.live_within(kReachableWithin, now)
+                                     : peers_.CountReceivedWithin(kReachableWithin, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.IsAlive(peer, now)) {
-      ++heard.direct;
-      heard.direct_hearing += now < peer.last_echoed_sent_at + kConfirmedAge ? 1 : 0;
+      ++daemons.direct;
+      daemons.direct_hearing += now < peer.last_echoed_sent_at + kConfirmedAge ? 1 : 0;
     }
   }
-  return heard;
+  return daemons;
 }
 
 void Proxy::UpdateWarmUpRole(common::Instant now) {
@@ -77,7 +79,7 @@
       senders[name] = all_send ? live : roles_.owners(name);
     }
   }
-  warm_up_.role().update(senders, HeardDaemons(now), now);
+  warm_up_.role().update(senders, CountReachableDaemons(now), now);
 }
 
 void Proxy::AdvanceWarmUps(common::Instant now) {
@@ -99,18 +101,18 @@
     const model::InstanceEntry& entry = backend.Entry();
     const auto state = warm_up_.instances().find(entry, now);
     const auto since = cold_since_.find(id);
-    // A daemon that has no connection to an instance for a while asks for its entry each time.
-    const bool told = state && !warm_up::awaits_entries(*state, now);
-    if (told && since == cold_since_.end()) {
+    // A daemon that had no connection to an instance for a while reads its entry each time.
+    const bool known_cold = state && !warm_up::awaits_entries(*state, now);
+    if (known_cold && since == cold_since_.end()) {
       cold_since_[id] = now;
       outbox_.Log("instance_cold", {{"instance", id},
                                     {"service", entry.service},
                                     {"known_by", warm_up::source_name(state->source)},
-                                    {"left_ms", Milliseconds(state->until - now)}});
+                                    {"left_ms", MillisecondsText(state->until - now)}});
     } else if (!state && since != cold_since_.end()) {
       outbox_.Log("instance_warm", {{"instance", id},
                                     {"service", entry.service},
-                                    {"after_ms", Milliseconds(now - since->second)}});
+                                    {"after_ms", MillisecondsText(now - since->second)}});
       cold_since_.erase(since);
     }
   }
--- a/tests/proxy/proxy_test.cc
+++ b/tests/proxy/proxy_test.cc
@@ -34,32 +34,32 @@
 std::size_t HeartbeatsTo(const common::Endpoint& peer, const std::vector<Action>& actions) {
   return static_cast<std::size_t>(
       std::count_if(actions.begin(), actions.end(), [&](const Action& action) {
-        const auto* sent = std::get_if<SendPeer>(&action);
+        const auto* sent = std::get_if<SendPeerMessage>(&action);
         return sent != nullptr && sent->address == peer;
       }));
 }
 
 }  // namespace
 
-TEST_CASE("A daemon that has just come is answered at once", "[proxy]") {
-  // Found by trouble-1 of the new site: after a loss of power the last daemon to return learned of
-  // the primaries a second later, when its silent address was due to be tried again.
+TEST_CASE("The first message of a started daemon is answered at once", "[proxy]") {
+  // After a loss of power the last daemon to restart must not wait up to a second for the
+  // primaries, until the next message to its unresponsive address is due.
   Proxy proxy(MakeSettings(), 1);
   proxy.Tick(kStart);
   proxy.TakeActions();
-  proxy.PeerHeard(kPeer, MessageOf(1, 1), kStart + Duration(1'000));
+  proxy.PeerMessageReceived(kPeer, MessageOf(1, 1), kStart + Duration(1'000));
   CHECK(HeartbeatsTo(kPeer, proxy.TakeActions()) == 1);
-  proxy.PeerHeard(kPeer, MessageOf(1, 2), kStart + Duration(2'000));
+  proxy.PeerMessageReceived(kPeer, MessageOf(1, 2), kStart + Duration(2'000));
   CHECK(HeartbeatsTo(kPeer, proxy.TakeActions()) == 0);
-  proxy.PeerHeard(kPeer, MessageOf(2, 1), kStart + Duration(3'000));
+  proxy.PeerMessageReceived(kPeer, MessageOf(2, 1), kStart + Duration(3'000));
   CHECK(HeartbeatsTo(kPeer, proxy.TakeActions()) == 1);
 }
 
 namespace {
 
-/// A daemon that is alone before one service; answers its calls to the store.
-struct LoneDaemon {
-  explicit LoneDaemon(Duration warm_up_time) : proxy(MakeSettings(), 1) {
+/// A single daemon with one service; answers its calls to the store.
+struct SingleDaemon {
+  explicit SingleDaemon(Duration warm_up_time) : proxy(MakeSettings(), 1) {
     configuration.version = 1;
     model::Service& service = configuration.services["ledger"];
     service.name = "ledger";
@@ -69,13 +69,13 @@
     entry.service = "ledger";
   }
 
-  /// Lets time pass. Every call to the store is answered at once, every connection opens.
+  /// Advances the time. Every call to the store is answered at once, every connection opens.
   void Run(Duration time) {
     for (const Instant end = now + time; now < end; now += kTick) {
       proxy.Tick(now);
       for (const Action& action : proxy.TakeActions()) {
         if (const auto* read = std::get_if<ReadCatalog>(&action)) {
-          Answer(*read);
+          AnswerRead(*read);
         } else if (const auto* open = std::get_if<OpenConnection>(&action)) {
           proxy.ConnectionOpened(open->connection, now);
           connection = open->connection;
@@ -84,7 +84,7 @@
     }
   }
 
-  void Answer(const ReadCatalog& read) {
+  void AnswerRead(const ReadCatalog& read) {
     if (read.read.collection == model::Collection::kInstances) {
       const bool list = !read.read.after_revision;
       lists += list ? 1 : 0;
@@ -113,18 +113,17 @@
 
 }  // namespace
 
-TEST_CASE("A daemon that starts before warm instances takes them for warm soon",
-          "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(6'000'000));
-  daemon.Run(Duration(2'300'000));  // connections open when the other daemons had time to greet
+TEST_CASE("A starting daemon soon counts warm instances as warm", "[proxy][warm_up]") {
+  SingleDaemon daemon(Duration(6'000'000));
+  daemon.Run(Duration(2'300'000));  // connections open after the others' first heartbeats
   REQUIRE(daemon.connection != 0);
   CHECK(daemon.proxy.ColdInstances() == 0);
   daemon.Run(Duration(2'000'000));
   CHECK(daemon.proxy.ColdInstances() == 0);
 }
 
-TEST_CASE("A daemon that starts knows of a cold instance by its entry", "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(6'000'000));
+TEST_CASE("A starting daemon recognizes a cold instance by its entry", "[proxy][warm_up]") {
+  SingleDaemon daemon(Duration(6'000'000));
   daemon.entry.warm_up_left = Duration(4'000'000);
   daemon.Run(Duration(3'000'000));
   CHECK(daemon.proxy.ColdInstances() == 1);
@@ -132,9 +131,9 @@
   CHECK(daemon.proxy.ColdInstances() == 0);
 }
 
-TEST_CASE("An instance whose only connection broke is spared for the whole time",
+TEST_CASE("An instance whose only connection broke counts as cold for the whole warm-up time",
           "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(6'000'000));
+  SingleDaemon daemon(Duration(6'000'000));
   daemon.Run(Duration(4'000'000));
   REQUIRE(daemon.connection != 0);
   daemon.proxy.ConnectionClosed(daemon.connection, daemon.now);
@@ -144,9 +143,9 @@
   CHECK(daemon.proxy.ColdInstances() == 0);
 }
 
-TEST_CASE("Without a warm-up a list is read again for the groups' members alone, and none is cold",
+TEST_CASE("Without a warm-up instances are listed again only for group members and none is cold",
           "[proxy][warm_up]") {
-  LoneDaemon daemon(Duration(0));
+  SingleDaemon daemon(Duration(0));
   daemon.entry.warm_up_left = Duration(4'000'000);
   daemon.Run(Duration(3'000'000));
   daemon.proxy.ConnectionClosed(daemon.connection, daemon.now);
@@ -158,7 +157,7 @@
 
 namespace {
 
-/// Answers all calls for lists and watches from an empty store of an era.
+/// Answers all lists and watches from an empty store of an era.
 /// @return the call by which the daemon wrote its entry, if it did.
 std::optional<CallNumber> AnswerCalls(Proxy& proxy, std::uint64_t era, Instant now) {
   std::optional<CallNumber> registered;
@@ -166,7 +165,7 @@
     if (const auto* read = std::get_if<ReadCatalog>(&action)) {
       proxy.CatalogRead(read->call, {metadata::ReadStatus::kOk, {10, era}, {}}, now);
     }
-    if (const auto* write = std::get_if<WriteDaemon>(&action)) {
+    if (const auto* write = std::get_if<WriteDaemonEntry>(&action)) {
       registered = write->call;
     }
   }
@@ -187,10 +186,9 @@
 
 }  // namespace
 
-TEST_CASE("A daemon whose entry may have gone with the store's history registers again",
-          "[proxy]") {
-  // A store that had returned from an older copy no longer listed a daemon that had registered
-  // since; it held leases all the same, which nobody who replaced a primary waited for.
+TEST_CASE("A daemon registers again if its entry may be lost with the store's history", "[proxy]") {
+  // A store restored from an older copy no longer lists a daemon that registered after the copy.
+  // The daemon still holds leases, and without its entry no promotion waits for them.
   Proxy proxy(MakeSettings(), 1);
   Instant now = kStart;
   const auto first = Registration(proxy, 1, now);
--- a/tests/proxy/read_placement_test.cc
+++ b/tests/proxy/read_placement_test.cc
@@ -12,7 +12,7 @@
 
 constexpr Instant kStart{100'000'000};
 
-/// Instances "p" (primary), "a" in the daemon's zone, "b" in another.
+/// Instances "p" (primary), "a" in the daemon's zone and "b" in another zone.
 struct PlacementFixture {
   PlacementFixture() {
     settings.zone = "near";
@@ -30,8 +30,8 @@
     backends.SetEntry(entry, kStart);
   }
 
-  std::vector<Placement> Candidates(const ReadNeed& need, Instant now) const {
-    return placement.Candidates(group, "p", {"a", "b", "p"}, need, {route, ""}, now);
+  std::vector<Placement> Candidates(const ReadParameters& read, Instant now) const {
+    return placement.Candidates(group, "p", {"a", "b", "p"}, read, {route, ""}, now);
   }
 
   ProxySettings settings;
@@ -43,20 +43,21 @@
   ReadPlacement placement{settings, backends, access};
 };
 
-ReadNeed Bounded(Instant arrived) {
+ReadParameters BoundedRead(Instant arrived) {
   return {Consistency::kBoundedStaleness, Duration(1'500'000), arrived, {}, Instant(0)};
 }
 
 }  // namespace
 
-TEST_CASE("An instance of another region comes behind one of another zone", "[proxy][regions]") {
+TEST_CASE("An instance of another region is ranked behind one of another zone",
+          "[proxy][regions]") {
   PlacementFixture fixture;
   fixture.Add("c", "abroad");
   fixture.settings.region = "home";
   fixture.settings.regions = {{"near", "home"}, {"far", "home"}, {"abroad", "other"}};
   fixture.group.history.Add({kStart, Position{1, 40}});
   const auto places = fixture.placement.Candidates(fixture.group, "p", {"c", "b", "a"},
-                                                   Bounded(kStart + Duration(100'000)),
+                                                   BoundedRead(kStart + Duration(100'000)),
                                                    {fixture.route, ""}, kStart);
   REQUIRE(places.size() == 3);
   CHECK(places[0].instance == "a");
@@ -64,10 +65,10 @@
   CHECK(places[2].instance == "c");
 }
 
-TEST_CASE("A replica of the own zone comes first, with the position it must hold", "[proxy]") {
+TEST_CASE("A replica of the own zone is ranked first, with its required position", "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
-  const auto places = fixture.Candidates(Bounded(kStart + Duration(100'000)), kStart);
+  const auto places = fixture.Candidates(BoundedRead(kStart + Duration(100'000)), kStart);
   REQUIRE(places.size() == 3);
   CHECK(places[0].instance == "a");
   CHECK(places[0].required == Position{1, 40});
@@ -75,7 +76,7 @@
 
 TEST_CASE("Without a known position only the primary serves", "[proxy]") {
   const PlacementFixture fixture;
-  const auto places = fixture.Candidates(Bounded(kStart), kStart);
+  const auto places = fixture.Candidates(BoundedRead(kStart), kStart);
   REQUIRE(places.size() == 1);
   CHECK(places[0].instance == "p");
   CHECK_FALSE(places[0].required);
@@ -84,45 +85,46 @@
 TEST_CASE("The session's own commit is required beyond the bound", "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
-  ReadNeed need = Bounded(kStart + Duration(10'000));
-  need.consistency = Consistency::kReadYourWrites;
-  need.own_commit = Position{1, 45};
-  need.own_commit_at = kStart + Duration(5'000);
-  const auto own = ReadPlacement::Required(fixture.group, need, kStart + Duration(10'000));
+  ReadParameters read = BoundedRead(kStart + Duration(10'000));
+  read.consistency = Consistency::kReadYourWrites;
+  read.own_commit = Position{1, 45};
+  read.own_commit_at = kStart + Duration(5'000);
+  const auto own = ReadPlacement::FindRequirement(fixture.group, read, kStart + Duration(10'000));
   REQUIRE(own);
   CHECK(own->position == Position{1, 45});
-  CHECK(own->own);
-  // A later sample covers the commit, also if its own position was rolled back in between.
+  CHECK(own->is_own_commit);
+  // A later sample covers the commit, even if the commit's position was rolled back in between.
   fixture.group.history.Add({kStart + Duration(6'000), Position{1, 43}});
-  const auto covered = ReadPlacement::Required(fixture.group, need, kStart + Duration(10'000));
+  const auto covered =
+      ReadPlacement::FindRequirement(fixture.group, read, kStart + Duration(10'000));
   REQUIRE(covered);
   CHECK(covered->position == Position{1, 43});
 }
 
-TEST_CASE("A replica that refused as lagging is left for later, until the memory fades",
+TEST_CASE("A replica that rejected a read as lagging is ranked last until the record expires",
           "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
   fixture.backends.Find("a")->OnLaggingRead(Duration(1'400'000), true, kStart);
-  const auto places = fixture.Candidates(Bounded(kStart), kStart + Duration(1'000));
+  const auto places = fixture.Candidates(BoundedRead(kStart), kStart + Duration(1'000));
   REQUIRE(places.size() == 3);
   CHECK(places.back().instance == "a");
   const Instant later = kStart + Duration(2'000'000);
   CHECK(fixture.backends.Find("a")->ExpectedFresh(Duration(100'000), later));
 }
 
-TEST_CASE("An instance that leaves serves only if no other can, and not past its limit",
+TEST_CASE("A draining instance serves only if no other can, and not past the drain limit",
           "[proxy]") {
   PlacementFixture fixture;
   fixture.group.history.Add({kStart, Position{1, 40}});
   fixture.backends.OnEntryRemoved("a", kStart);
-  const auto places = fixture.Candidates(Bounded(kStart), kStart);
+  const auto places = fixture.Candidates(BoundedRead(kStart), kStart);
   CHECK(places.size() == 2);
   for (const std::string id : {"b", "p"}) {
     fixture.backends.OnEntryRemoved(id, kStart);
   }
-  CHECK(fixture.Candidates(Bounded(kStart), kStart).size() == 3);
-  CHECK(fixture.Candidates(Bounded(kStart), kStart + fixture.settings.drain_limit).empty());
+  CHECK(fixture.Candidates(BoundedRead(kStart), kStart).size() == 3);
+  CHECK(fixture.Candidates(BoundedRead(kStart), kStart + fixture.settings.drain_limit).empty());
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/session_relay_test.cc
+++ b/tests/proxy/session_relay_test.cc
@@ -24,7 +24,7 @@
   return configuration;
 }
 
-/// A daemon of six in one zone, of which one owns the service.
+/// One of six daemons in a zone, one of which owns the service.
 struct RelayFixture {
   explicit RelayFixture(const std::string& self) : roles(self, Policy()) {
     std::vector<relay::member> members;
@@ -51,11 +51,11 @@
   }
 
   static std::string Owner() { return RelayFixture("").roles.owners("group").front(); }
-  static std::string Other() { return Owner() == "a" ? "b" : "a"; }
+  static std::string NonOwner() { return Owner() == "a" ? "b" : "a"; }
 
-  /// @return the first action of a kind since the last call.
+  /// @return the first action of the type since the last call.
   template <typename Kind>
-  std::optional<Kind> Taken() {
+  std::optional<Kind> FirstAction() {
     std::optional<Kind> first;
     for (const Action& action : outbox.Take()) {
       const auto* kind = std::get_if<Kind>(&action);
@@ -87,20 +87,20 @@
 
 }  // namespace
 
-TEST_CASE("A session goes to the owner with the version in force", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+TEST_CASE("A session is relayed to the owner with the configuration version in force", "[proxy]") {
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  const auto relayed = fixture.Taken<RelaySession>();
+  const auto relayed = fixture.FirstAction<RelaySession>();
   REQUIRE(relayed);
   CHECK(relayed->owner.host == RelayFixture::Owner());
-  CHECK(relayed->least_configuration == 5);
+  CHECK(relayed->required_configuration == 5);
   CHECK(fixture.relay->Relays(kSession));
 }
 
-TEST_CASE("A caller whose link is lost gets the answer before the close", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+TEST_CASE("A caller whose link is lost gets an error before the close", "[proxy]") {
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
@@ -130,62 +130,63 @@
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
 }
 
 TEST_CASE("A session that was handed over is never handed on", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5}, kStart);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
   CHECK_FALSE(fixture.relay->Relays(kSession));
 }
 
-TEST_CASE("A session handed over waits for the version that it needs", "[proxy]") {
+TEST_CASE("A session handed over waits for its required configuration version", "[proxy]") {
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration older = ConfigurationOf(4);
   fixture.Configure(older);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5}, kStart);
-  CHECK_FALSE(fixture.Taken<AcceptSession>());
+  CHECK_FALSE(fixture.FirstAction<AcceptSession>());
   CHECK(fixture.relay->AwaitsConfiguration());
   const model::Configuration newer = ConfigurationOf(5);
   fixture.Configure(newer);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
   CHECK_FALSE(fixture.relay->AwaitsConfiguration());
 }
 
-TEST_CASE("A session whose version does not come is declined without a word", "[proxy]") {
+TEST_CASE("A session whose configuration does not arrive is declined without an error", "[proxy]") {
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration older = ConfigurationOf(4);
   fixture.Configure(older);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5}, kStart);
   fixture.relay->Tick(kStart + kLong);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK_FALSE(closed->with_error);
 }
 
-TEST_CASE("Without an owner that is heard the session is served here", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+TEST_CASE("Without a reachable owner the session is served here", "[proxy]") {
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart + kLong);
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
 }
 
-TEST_CASE("An unknown database is refused where the caller is", "[proxy]") {
-  RelayFixture fixture(RelayFixture::Other());
+TEST_CASE("An unknown database is rejected by the caller's own daemon", "[proxy]") {
+  RelayFixture fixture(RelayFixture::NonOwner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "other", kKey, {}, kStart);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK(closed->error == model::ErrorCode::kUnknownDatabase);
 }
 
 TEST_CASE("A daemon that ceased to own a service ends its own callers' sessions first", "[proxy]") {
-  // Who handed a session over ends it; only later this daemon does, should the other not.
+  // The daemon that handed a session over ends it. This daemon does so only later, if the other has
+  // not.
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -195,7 +196,7 @@
   static_cast<void>(fixture.outbox.Take());
   const Instant later = kStart + relay::FIRST_COMMAND_TIME;
   fixture.dispatcher.EndIdleSessionsOfService("group", false, later);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK(closed->session == kSession);
   CHECK(fixture.dispatcher.SessionCount() == 1);
@@ -204,9 +205,10 @@
 }
 
 TEST_CASE("An owner asks the other daemon to end a session that was handed over", "[proxy]") {
-  // Of 238 commands that found their link "closed by the other side" in three runs of planned
-  // stops, 122 did 1 to 2 s after the owner's own stop signal, when it took itself for an owner no
-  // more, and 20 at 2 to 3 s, when it ended what rests: the next command was on the link.
+  // An owner that closes idle sessions itself loses commands that are on the link. Of 238 commands
+  // whose link was "closed by the other side" in three runs of planned stops, 122 failed 1 to 2 s
+  // after the owner's stop signal, when it stopped counting itself as an owner, and 20 at 2 to 3 s,
+  // when it ended idle sessions.
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
@@ -216,19 +218,19 @@
 
   std::vector<SessionNumber> asked;
   std::vector<SessionNumber> closed;
-  const auto take = [&] {
+  const auto collect = [&] {
     for (const Action& action : fixture.outbox.Take()) {
-      if (const auto* ask = std::get_if<AskToEnd>(&action)) {
+      if (const auto* ask = std::get_if<RequestSessionEnd>(&action)) {
         asked.push_back(ask->session);
       } else if (const auto* close = std::get_if<CloseSession>(&action)) {
         closed.push_back(close->session);
       }
     }
   };
-  // Once; a daemon of an earlier version would not understand it.
+  // The request is sent once, and not to a daemon of an earlier version, which does not know it.
   fixture.dispatcher.EndAllIdleSessions(false, kStart);
   fixture.dispatcher.EndAllIdleSessions(false, kStart + kLong);
-  take();
+  collect();
   CHECK(asked == std::vector<SessionNumber>{kSession});
   CHECK(closed == std::vector<SessionNumber>{kSession + 1});
 
@@ -245,27 +247,27 @@
   SECTION("at the end of a stop's time this daemon does") {
     fixture.dispatcher.EndSessions([](const CallerSession&) { return true; },
                                    SessionEndCondition::kImmediately, "", kStart + kLong);
-    take();
+    collect();
     CHECK(closed.size() == 2);
   }
 }
 
-TEST_CASE("An owner ends itself what the other daemon has not ended when asked", "[proxy]") {
+TEST_CASE("An owner ends a session that the other daemon did not end when asked", "[proxy]") {
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5, true}, kStart);
   const Instant later = kStart + relay::FIRST_COMMAND_TIME;
   fixture.dispatcher.EndIdleSessionsOfService("group", false, later);
-  CHECK(fixture.Taken<AskToEnd>());
+  CHECK(fixture.FirstAction<RequestSessionEnd>());
   fixture.dispatcher.EndIdleSessionsOfService("group", false, later + 2 * kLong - Duration(1));
   CHECK(fixture.dispatcher.SessionCount() == 1);
   fixture.dispatcher.EndIdleSessionsOfService("group", false, later + 2 * kLong);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-/// A daemon whose zone lies in "south", and a route that may run in the regions given.
+/// A daemon whose zone is in region "south", and a route with the given allowed regions.
 struct RegionsFixture : RelayFixture {
   RegionsFixture(const std::string& self, const std::vector<std::string>& allowed)
       : RelayFixture(self) {
@@ -286,83 +288,86 @@
   model::Configuration configuration;
 };
 
-TEST_CASE("A session that may not leave for an owner is served where its caller is",
+TEST_CASE("A session that may not run in the owner's region is served by the caller's own daemon",
           "[proxy][regions]") {
-  RegionsFixture fixture(RelayFixture::Other(), {"north"});
+  RegionsFixture fixture(RelayFixture::NonOwner(), {"north"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
   CHECK_FALSE(fixture.relay->Relays(kSession));
-  CHECK(fixture.Taken<AcceptSession>());
+  CHECK(fixture.FirstAction<AcceptSession>());
 }
 
-TEST_CASE("A session that may run nowhere is refused at once with a time to come back",
+TEST_CASE("A session that may run in no region is rejected at once with a retry-after",
           "[proxy][regions]") {
-  RegionsFixture fixture(RelayFixture::Other(), {"abroad"});
+  RegionsFixture fixture(RelayFixture::NonOwner(), {"abroad"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK(closed->error == model::ErrorCode::kBusy);
   CHECK(closed->error_text == "retry_after_ms=1000 outside its regions");
   CHECK_FALSE(fixture.relay->Relays(kSession));
 }
 
-TEST_CASE("An owner declines a session whose requests it may not hold", "[proxy][regions]") {
+TEST_CASE("An owner declines a session whose requests it may not process", "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"north"});
   fixture.HandOver();
-  const auto closed = fixture.Taken<CloseSession>();
+  const auto closed = fixture.FirstAction<CloseSession>();
   REQUIRE(closed);
   CHECK_FALSE(closed->with_error);
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("An owner declines by the configuration that a session waited for", "[proxy][regions]") {
+TEST_CASE("An owner applies the configuration that a session waited for when it declines",
+          "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 6}, kStart);
   fixture.configuration.version = 6;
   fixture.SetAllowed({"north"});
   fixture.Configure(fixture.configuration);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("An owner ends the sessions handed over that it may no longer hold", "[proxy][regions]") {
+TEST_CASE("An owner ends the sessions handed over that it may no longer process",
+          "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   model::Command begin;
   begin.kind = model::CommandKind::kBegin;
   fixture.dispatcher.CommandReceived(kSession, {"r1", begin}, kStart);
   fixture.SetAllowed({"north"});
   fixture.relay->RegionsChanged(kStart);
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT - Duration(1));
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("An owner leaves it to the other daemon to end in time what rests outside its regions",
+TEST_CASE("An owner lets the other daemon end idle sessions outside its regions first",
           "[proxy][regions]") {
-  // The next command may be on the link already: only the daemon that passes it on knows.
+  // The next command may already be on the link. Only the daemon that forwards it knows.
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   fixture.SetAllowed({"north"});
   fixture.relay->RegionsChanged(kStart);
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT - Duration(1));
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
   fixture.relay->Tick(kStart + relay::MOVE_LIMIT);
-  CHECK(fixture.Taken<CloseSession>());
+  CHECK(fixture.FirstAction<CloseSession>());
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("A session of a caller of this daemon stays when regions change", "[proxy][regions]") {
+TEST_CASE("A session of this daemon's own caller continues when regions change",
+          "[proxy][regions]") {
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   fixture.SetAllowed({"north"});
   fixture.relay->RegionsChanged(kStart);
   fixture.relay->Tick(kStart + relay::MOVE_DEADLINE);
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
 }
 
 TEST_CASE("A command of a session that waits for a configuration is not lost", "[proxy]") {
@@ -372,17 +377,18 @@
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 6}, kStart);
   model::Command set;
   set.kind = model::CommandKind::kSet;
-  CHECK(fixture.relay->KeepCommand(kSession, {"r1", set}));
+  CHECK(fixture.relay->QueueCommand(kSession, {"r1", set}));
   const model::Configuration after = ConfigurationOf(6);
   fixture.Configure(after);
-  CHECK(fixture.Taken<AnswerCaller>());
+  CHECK(fixture.FirstAction<AnswerCaller>());
 }
 
-TEST_CASE("An owner answers what it cuts short at the deadline of a move", "[proxy][regions]") {
-  // The other daemon can only say of a write that it is in doubt; this one knows that it never ran.
+TEST_CASE("An owner answers the commands that it cuts off at the deadline of a move",
+          "[proxy][regions]") {
+  // The other daemon can only report a write as in doubt; this one knows that it never ran.
   RegionsFixture fixture(RelayFixture::Owner(), {"south"});
   fixture.HandOver();
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   model::Command write;
   write.kind = model::CommandKind::kWrite;
   fixture.dispatcher.CommandReceived(kSession, {"r1", write}, kStart);  // no instance: it waits
@@ -398,17 +404,16 @@
   CHECK(fixture.dispatcher.SessionCount() == 0);
 }
 
-TEST_CASE("A session that was just accepted keeps its time for a first command at a guest's end",
-          "[proxy]") {
-  // Served here for want of an owner, or handed over by a daemon whose view is behind: the service
-  // has been foreign for long, the session is new.
+TEST_CASE("A new session of an unowned service keeps its time for a first command", "[proxy]") {
+  // The session was served here because no owner was reachable, or handed over by a daemon with an
+  // outdated view. The service has long been owned by others, but the session is new.
   RelayFixture fixture(RelayFixture::Owner());
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  REQUIRE(fixture.Taken<AcceptSession>());
+  REQUIRE(fixture.FirstAction<AcceptSession>());
   fixture.dispatcher.EndIdleSessionsOfService("group", false, kStart + Duration(10'000));
-  CHECK_FALSE(fixture.Taken<CloseSession>());
+  CHECK_FALSE(fixture.FirstAction<CloseSession>());
 }
 
 }  // namespace valvekeel::proxy
