--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -45,19 +45,19 @@
 
 /** The part of a heartbeat that is about who lives. */
 struct view_message {
-  bool asks = false;      // the receiver shall act as the sender's hub
-  bool from_hub = false;  // the sender acts as a hub
-  bool informed = false;  // the sender's lists lack nobody
-  bool whole = false;     // its lists are about all zones, else only about its own
+  bool requests_hub_role = false;  // the receiver shall act as the sender's hub
+  bool from_hub = false;           // the sender acts as a hub
+  bool complete = false;           // the sender's lists lack nobody
+  bool covers_all_zones = false;   // its lists are about all zones, else only about its own
   /** Changes as the sender starts and as it becomes a hub; 0 if it does not say. Lists of two
    * epochs are not to be compared. */
   std::uint64_t epoch = 0;
-  std::size_t zones = 0;           // in the sender's view; 0 if that is not whole
-  bool large = false;              // the deployment is too large for all to hear each other
-  bool seeks = false;              // the sender does not know its hubs: introduce them
-  std::vector<member> introduced;  // the first hubs of all zones, as far as the sender knows
-  std::vector<list_digest> held;   // lists of the receiver's that the sender holds
-  std::vector<zone_list> lists;    // what the receiver lacks
+  std::size_t zone_count = 0;       // in the sender's view; 0 if that is not whole
+  bool large_deployment = false;    // the deployment is too large for all to hear each other
+  bool requests_discovery = false;  // the sender does not know its hubs: introduce them
+  std::vector<member> known_hubs;   // the first hubs of all zones, as far as the sender knows
+  std::vector<list_digest> acknowledged_lists;  // lists of the receiver's that the sender holds
+  std::vector<zone_list> lists;                 // what the receiver lacks
 };
 
 /** @return the digest of a list: changes with any field of any member. */
--- a/src/membership/roster.cc
+++ b/src/membership/roster.cc
@@ -12,33 +12,33 @@
 
 }  // namespace
 
-void roster::presume(const member& daemon, common::Instant until) {
+void roster::presume_live(const member& daemon, common::Instant until) {
   const auto [found, is_new] = this->entries.try_emplace(daemon.name);
   entry& each = found->second;
   if (is_new) {
-    each.told = daemon;
+    each.reported = daemon;
   }
   each.presumed_until = std::max(each.presumed_until, until);
 }
 
-void roster::drop(const std::string& name, const std::string& source, common::Instant now) {
+void roster::record_drop(const std::string& name, const std::string& source, common::Instant now) {
   const auto found = this->entries.find(name);
   if (found == this->entries.end()) {
     return;
   }
-  found->second.dropped = now;
+  found->second.dropped_at = now;
   found->second.dropped_by = source;
 }
 
-void roster::affirm(const std::string& name) {
+void roster::clear_drop(const std::string& name) {
   const auto found = this->entries.find(name);
   if (found != this->entries.end()) {
-    found->second.dropped.reset();
+    found->second.dropped_at.reset();
   }
 }
 
-void roster::begin() {
-  this->source.clear();
+void roster::begin_round() {
+  this->last_drop_source.clear();
   for (auto& [name, each] : this->entries) {
     each.supported = false;
   }
@@ -49,25 +49,25 @@
   if (each.supported) {
     return;
   }
-  each.told = daemon;
+  each.reported = daemon;
   each.supported = true;
   each.source = source;
-  each.last_word.reset();
+  each.last_support.reset();
   each.presumed_until = common::Instant(0);
 }
 
-void roster::support_heard(const member& daemon, common::Instant heard) {
+void roster::support_by_heartbeat(const member& daemon, common::Instant heard) {
   entry& each = this->entries[daemon.name];
-  if (each.dropped && heard > *each.dropped) {
-    each.dropped.reset();
+  if (each.dropped_at && heard > *each.dropped_at) {
+    each.dropped_at.reset();
   }
-  if (!each.dropped) {
+  if (!each.dropped_at) {
     this->support(daemon, daemon.name);
   }
 }
 
-void roster::end(const silence& unheard, common::Instant now) {
-  this->first_end.reset();
+void roster::end_round(const retention& unheard, common::Instant now) {
+  this->first_expiry.reset();
   for (auto at = this->entries.begin(); at != this->entries.end();) {
     entry& each = at->second;
     if (each.supported) {
@@ -75,22 +75,22 @@
       continue;
     }
     const bool presumed = each.presumed_until.count() > 0;
-    if (!each.last_word && !presumed) {
-      each.last_word = unheard.last_word(each);
+    if (!each.last_support && !presumed) {
+      each.last_support = unheard.time_of_last_support(each);
     }
     const bool spoken_for_since =
-        each.dropped && each.dropped_by != each.source && each.last_word > *each.dropped;
-    if (each.dropped && now < *each.dropped + DROP_COUNTS && !spoken_for_since) {
-      this->source = each.dropped_by;
+        each.dropped_at && each.dropped_by != each.source && each.last_support > *each.dropped_at;
+    if (each.dropped_at && now < *each.dropped_at + DROP_COUNTS && !spoken_for_since) {
+      this->last_drop_source = each.dropped_by;
       at = this->entries.erase(at);
       continue;
     }
-    const common::Instant end = presumed ? each.presumed_until : unheard.kept_until(each);
+    const common::Instant end = presumed ? each.presumed_until : unheard.retained_until(each);
     if (now >= end) {
       at = this->entries.erase(at);
       continue;
     }
-    this->first_end = std::min(end, this->first_end.value_or(end));
+    this->first_expiry = std::min(end, this->first_expiry.value_or(end));
     ++at;
   }
 }
--- a/src/proxy/failover_driver.cc
+++ b/src/proxy/failover_driver.cc
@@ -228,7 +228,7 @@
   for (const std::string& name : peers_.LiveNames(now)) {
     daemons.insert(name);
   }
-  for (const membership::member& each : view_.live()) {
+  for (const membership::member& each : view_.live_daemons()) {
     daemons.insert(each.name);
   }
   daemons.erase(settings_.name);
--- a/src/proxy/peer_message.cc
+++ b/src/proxy/peer_message.cc
@@ -87,12 +87,13 @@
     lists.push_back(ToJson(list));
   }
   json introduced = json::array();
-  for (const membership::member& each : view.introduced) {
+  for (const membership::member& each : view.known_hubs) {
     introduced.push_back(json::array({each.zone, ToJson(each)}));
   }
-  return json::array({view.asks, view.from_hub, view.whole, view.large, view.seeks,
-                      std::move(introduced), ToJson(view.held), std::move(lists), view.informed,
-                      view.epoch, view.zones});
+  return json::array({view.requests_hub_role, view.from_hub, view.covers_all_zones,
+                      view.large_deployment, view.requests_discovery, std::move(introduced),
+                      ToJson(view.acknowledged_lists), std::move(lists), view.complete, view.epoch,
+                      view.zone_count});
 }
 
 membership::member MemberFrom(const std::string& zone, const json& value) {
@@ -124,24 +125,25 @@
   membership::view_message view;
   std::size_t field = 0;
   const auto next = [&]() -> const json& { return value.at(field++); };
-  view.asks = next().get<bool>();
+  view.requests_hub_role = next().get<bool>();
   view.from_hub = next().get<bool>();
-  view.whole = next().get<bool>();
-  view.large = next().get<bool>();
-  view.seeks = next().get<bool>();
+  view.covers_all_zones = next().get<bool>();
+  view.large_deployment = next().get<bool>();
+  view.requests_discovery = next().get<bool>();
   for (const json& each : next()) {
-    view.introduced.push_back(MemberFrom(each.at(0).get<std::string>(), each.at(1)));
+    view.known_hubs.push_back(MemberFrom(each.at(0).get<std::string>(), each.at(1)));
   }
   for (const json& each : next()) {
-    view.held.push_back({each.at(0).get<std::string>(), each.at(1).get<std::uint64_t>()});
+    view.acknowledged_lists.push_back(
+        {each.at(0).get<std::string>(), each.at(1).get<std::uint64_t>()});
   }
   for (const json& each : next()) {
     view.lists.push_back(ZoneListFrom(each));
   }
   // Earlier versions do not send it: their hubs count as they did.
-  view.informed = field < value.size() ? next().get<bool>() : view.from_hub;
+  view.complete = field < value.size() ? next().get<bool>() : view.from_hub;
   view.epoch = field < value.size() ? next().get<std::uint64_t>() : 0;
-  view.zones = field < value.size() ? next().get<std::size_t>() : 0;
+  view.zone_count = field < value.size() ? next().get<std::size_t>() : 0;
   return view;
 }
 
--- a/src/proxy/peer_table.cc
+++ b/src/proxy/peer_table.cc
@@ -77,7 +77,7 @@
   if (message.continues) {
     AddMissing(before, peer.last.groups);
   }
-  peer.wants_introduction = membership::live_view::wants_introduction(message.view);
+  peer.wants_introduction = membership::live_view::is_discovery_request(message.view);
   peer.last.view = {};  // taken by the membership
   peer.reports_loss = std::any_of(peer.last.groups.begin(), peer.last.groups.end(),
                                   [](const GroupReport& report) { return report.primary_lost; });
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -333,7 +333,7 @@
 
 std::size_t Proxy::SharingDaemons(common::Instant now) const {
   const std::size_t heard =
-      large_ ? view_.live_within(kSharingAge, now) : peers_.HeardWithin(kSharingAge, now) + 1;
+      large_ ? view_.count_live_within(kSharingAge, now) : peers_.HeardWithin(kSharingAge, now) + 1;
   const bool new_here = started_ && now < *started_ + kSharingAge;
   return std::max(heard, new_here ? catalog_.Daemons().size() : std::size_t{1});
 }
@@ -343,7 +343,7 @@
     return MembersHeard(now);
   }
   std::vector<relay::member> members;
-  for (const membership::member& each : view_.live()) {
+  for (const membership::member& each : view_.live_daemons()) {
     if (!each.stopping) {
       members.push_back({each.name, each.zone, each.store_connected, each.capacity});
     }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -128,7 +128,7 @@
 
   /// @return how many other daemons are taken to be alive.
   std::size_t LiveDaemons(common::Instant now) const {
-    return large_ ? view_.live().size() - 1 : peers_.LiveNames(now).size();
+    return large_ ? view_.live_daemons().size() - 1 : peers_.LiveNames(now).size();
   }
 
  private:
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -149,14 +149,14 @@
                owner && to_hub ? settings_.owner_heartbeat_interval : settings_.view.hub_interval);
   }
   if (roles_.known() && (roles_.meshed() || roles_.watches_any())) {
-    for (const membership::member& each : view_.live()) {
+    for (const membership::member& each : view_.live_daemons()) {
       const common::Duration interval = DutyInterval(each.name);
       if (each.name != settings_.name && interval.count() > 0) {
         AddPartner(each.address, each.name, interval);
       }
     }
   }
-  if (view_.seeks(now)) {
+  if (view_.needs_discovery(now)) {
     for (const common::Endpoint& seed : settings_.seed_peers) {
       if (seed != settings_.peer) {
         AddPartner(seed, "", kSeekPause);
@@ -164,7 +164,7 @@
     }
   }
   for (Peer* peer : partners_) {
-    if (view_.owes(peer->name, now)) {
+    if (view_.has_pending_lists(peer->name, now)) {
       peer->next_heartbeat = now;
     }
   }
@@ -187,14 +187,14 @@
   }
   ChooseConfigurationSource(now);
   // Hubs tell who lives; the list is for those who replace primaries, and for who hears no hub.
-  catalog_.SetDiscovering(!view_.settled() || (roles_.known() && roles_.coordinates()));
+  catalog_.SetDiscovering(!view_.is_complete() || (roles_.known() && roles_.coordinates()));
   view_.set_self(HasStore(now), stopping_since_.has_value());
   view_.update(now);
   LogViewChange();
 }
 
 void Proxy::LogViewChange() {
-  const membership::view_change& change = view_.changed();
+  const membership::view_change& change = view_.last_update_changes();
   if (change.hub_changed) {
     outbox_.Log("hub_changed", {{"acts", view_.is_hub() ? "true" : "false"}});
   }
@@ -207,19 +207,19 @@
   }
   outbox_.Log("daemons_lost", {{"count", std::to_string(change.lost.size())},
                                {"daemons", names},
-                               {"told_by", change.source},
+                               {"told_by", change.reporting_hub},
                                {"hub", view_.is_hub() ? "true" : "false"}});
 }
 
 void Proxy::TakeView(const common::Endpoint& from, const PeerMessage& message,
                      common::Instant now) {
-  large_ = large_ || message.view.large;
+  large_ = large_ || message.view.large_deployment;
   if (!large_) {
     return;
   }
-  view_.take({message.name, message.zone, from, message.capacity, message.store_connected,
-              message.stopping},
-             message.view, message.interval, now);
+  view_.apply_message({message.name, message.zone, from, message.capacity, message.store_connected,
+                       message.stopping},
+                      message.view, message.interval, now);
 }
 
 bool Proxy::OwesIntroduction(const Peer& peer, common::Instant now) {
@@ -271,7 +271,7 @@
   if (large_) {
     message.view = view_.message_for(peer.name, now);
     if (OwesIntroduction(peer, now)) {
-      message.view.introduced = view_.introduction(now);
+      message.view.known_hubs = view_.known_hubs(now);
       peer.introduced_at = now;
     }
     const bool partner = peer.pace.count() > 0;
@@ -300,7 +300,7 @@
     if (message.groups.size() >= (message.continues ? kMostReports : most)) {
       PeerMessage next = WithoutGroups(message);
       next.view.lists.clear();
-      next.view.introduced.clear();
+      next.view.known_hubs.clear();
       next.continues = true;
       peers_.Stamp(peer, message, now);
       outbox_.Emit(SendPeer{peer.address, std::move(message)});
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -50,8 +50,8 @@
   warm_up::hearing heard;
   heard.alive = LiveMembers(now).size();
   heard.listed = catalog_.Daemons().size();
-  heard.lately =
-      large_ ? view_.live_within(kHeardLately, now) : peers_.HeardWithin(kHeardLately, now) + 1;
+  heard.lately = large_ ? view_.count_live_within(kHeardLately, now)
+                        : peers_.HeardWithin(kHeardLately, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.Alive(peer, now)) {
       ++heard.direct;
--- a/tests/membership/network.h
+++ b/tests/membership/network.h
@@ -117,7 +117,7 @@
 
   std::set<std::string> seen_by(std::size_t number) {
     std::set<std::string> names;
-    for (const member& each : this->view(number).live()) {
+    for (const member& each : this->view(number).live_daemons()) {
       names.insert(each.name);
     }
     return names;
@@ -221,7 +221,7 @@
     letter sent{from, number_of(to), sender.view->message_for(to, this->now),
                 this->interval_of(from, sender), this->arrival(from, number_of(to))};
     if (introduces) {
-      sent.message.introduced = sender.view->introduction(this->now);
+      sent.message.known_hubs = sender.view->known_hubs(this->now);
     }
     ++sender.sent;
     ++this->messages;
@@ -237,7 +237,7 @@
         this->watch(each);
       }
       for (const member& partner : each.view->partners()) {
-        if (each.view->owes(partner.name, this->now)) {
+        if (each.view->has_pending_lists(partner.name, this->now)) {
           each.due[partner.name] = this->now;
         }
       }
@@ -248,7 +248,7 @@
         this->send(number, each, partner.name, false);
       }
     }
-    for (std::size_t seed = 0; seed < SEEDS && each.view->seeks(this->now); ++seed) {
+    for (std::size_t seed = 0; seed < SEEDS && each.view->needs_discovery(this->now); ++seed) {
       const std::string name = "daemon-" + std::to_string(seed);
       if (seed != number && this->now >= each.due["seed " + name]) {
         each.due["seed " + name] = this->now + SEEK;
@@ -277,7 +277,7 @@
         continue;
       } else if (observer.seen.erase(number) > 0) {
         left.push_back(other.self.name);
-      } else if (observer.view->settled() && observer.unseen.insert(number).second) {
+      } else if (observer.view->is_complete() && observer.unseen.insert(number).second) {
         never_there.push_back(other.self.name);
       }
     }
@@ -301,13 +301,14 @@
       if (!to.view || from.cut_off || to.cut_off) {
         continue;
       }
-      to.view->take(from.self, each.message, each.interval, this->now);
+      to.view->apply_message(from.self, each.message, each.interval, this->now);
       const auto heard = to.heard.find(each.from);
       const bool was_away = heard == to.heard.end() || this->now >= heard->second + AWAY;
       to.heard[each.from] = this->now;
       const bool answers = was_away && to.view->is_hub();
       Instant& introduced = to.introduced[each.from];
-      const bool introduces = each.message.seeks && this->now >= introduced + INTRODUCTION_PAUSE;
+      const bool introduces =
+          each.message.requests_discovery && this->now >= introduced + INTRODUCTION_PAUSE;
       introduced = introduces ? this->now : introduced;
       if (from.view && (introduces || answers)) {
         this->send(each.to, to, from.self.name, introduces);
--- a/tests/membership/roster_test.cc
+++ b/tests/membership/roster_test.cc
@@ -22,14 +22,14 @@
 
 /** Asks these sources, of which each lists "daemon". */
 void round(roster& known, const std::vector<std::string>& sources, Instant now) {
-  known.begin();
+  known.begin_round();
   for (const std::string& source : sources) {
     known.support(daemon_of("daemon"), source);
   }
-  roster::silence unheard;
-  unheard.last_word = [&](const roster::entry&) { return now; };
-  unheard.kept_until = [](const roster::entry& each) { return *each.last_word + KEPT; };
-  known.end(unheard, now);
+  roster::retention unheard;
+  unheard.time_of_last_support = [&](const roster::entry&) { return now; };
+  unheard.retained_until = [](const roster::entry& each) { return *each.last_support + KEPT; };
+  known.end_round(unheard, now);
 }
 
 }  // namespace
@@ -50,20 +50,20 @@
 TEST_CASE("A daemon leaves at once when its last source lists it no more", "[membership]") {
   roster known;
   round(known, {"a", "b"}, START);
-  known.drop("daemon", "a", START);
+  known.record_drop("daemon", "a", START);
   round(known, {"b"}, START + Duration(1));
   CHECK(known.all().contains("daemon"));
-  known.drop("daemon", "b", START + Duration(2));
+  known.record_drop("daemon", "b", START + Duration(2));
   round(known, {}, START + Duration(2));
   CHECK_FALSE(known.all().contains("daemon"));
-  CHECK(known.last_source() == "b");
+  CHECK(known.last_dropped_by() == "b");
 }
 
 TEST_CASE("A drop is void once a source lists the daemon anew", "[membership]") {
   roster known;
   round(known, {"a", "b"}, START);
-  known.drop("daemon", "a", START);
-  known.affirm("daemon");
+  known.record_drop("daemon", "a", START);
+  known.clear_drop("daemon");
   round(known, {}, START + Duration(1));
   CHECK(known.all().contains("daemon"));
 }
--- a/tests/membership/view_change_test.cc
+++ b/tests/membership/view_change_test.cc
@@ -23,10 +23,10 @@
 
 view_message whole_list(const std::vector<member>& members) {
   view_message message;
-  message.large = true;
+  message.large_deployment = true;
   message.from_hub = true;
-  message.informed = true;
-  message.whole = true;
+  message.complete = true;
+  message.covers_all_zones = true;
   message.lists = {{"zone", digest_of(members), members}};
   return message;
 }
@@ -42,30 +42,30 @@
   live_view view(self, view_policy{.hubs_per_zone = 1});
   const Instant start{100'000'000};
   view.update(start);
-  view.take(hub, whole_list({hub, leaving, lost, self}), INTERVAL, start);
+  view.apply_message(hub, whole_list({hub, leaving, lost, self}), INTERVAL, start);
   view.update(start);
-  view.take(hub, whole_list({hub, leaving, lost, self}), INTERVAL, start);
+  view.apply_message(hub, whole_list({hub, leaving, lost, self}), INTERVAL, start);
   view.update(start);
-  CHECK(view.live().size() == 4);
-  CHECK(view.changed().lost.empty());
+  CHECK(view.live_daemons().size() == 4);
+  CHECK(view.last_update_changes().lost.empty());
 
-  view.take(hub, whole_list({hub, self}), INTERVAL, start);
+  view.apply_message(hub, whole_list({hub, self}), INTERVAL, start);
   view.update(start);
-  CHECK(view.live().size() == 2);
-  CHECK(view.changed().lost == std::vector<std::string>{"lost"});
-  CHECK(view.changed().source == "hub");
+  CHECK(view.live_daemons().size() == 2);
+  CHECK(view.last_update_changes().lost == std::vector<std::string>{"lost"});
+  CHECK(view.last_update_changes().reporting_hub == "hub");
   view.update(start);
-  CHECK(view.changed().lost.empty());
+  CHECK(view.last_update_changes().lost.empty());
 }
 
 TEST_CASE("That a daemon becomes a hub is told once", "[membership]") {
   live_view view(daemon_of("self"), view_policy{});
   const Instant start{100'000'000};
   view.update(start);
-  CHECK(view.changed().hub_changed);
+  CHECK(view.last_update_changes().hub_changed);
   CHECK(view.is_hub());
   view.update(start);
-  CHECK_FALSE(view.changed().hub_changed);
+  CHECK_FALSE(view.last_update_changes().hub_changed);
 }
 
 }  // namespace valvekeel::membership
--- a/tests/proxy/peer_table_test.cc
+++ b/tests/proxy/peer_table_test.cc
@@ -115,9 +115,9 @@
   for (const bool informed : {false, true}) {
     PeerMessage message = From("b", 9, 1);
     message.view.from_hub = true;
-    message.view.informed = informed;
+    message.view.complete = informed;
     const auto read = DecodePeerMessage(EncodePeerMessage(message));
-    CHECK(common::ValueOf(read).view.informed == informed);
+    CHECK(common::ValueOf(read).view.complete == informed);
   }
 }
 
