--- a/src/membership/live_view.cc
+++ b/src/membership/live_view.cc
@@ -8,57 +8,62 @@
 namespace valvekeel::membership {
 namespace {
 
-constexpr const char* HUB = "hub";
-
-/** Silence after which a daemon is lost, at least: a few heartbeats of an owner, which callers wait
- * for. */
-constexpr common::Duration SHORTEST_SILENCE{650'000};
-/** The same in halves of the sender's interval: two lost datagrams in a row are no loss. */
-constexpr int SILENT_HALF_INTERVALS = 5;
-/** Silence after which a hub that was written to is passed over: it should have answered at once.
- */
+constexpr const char* HUB_HASH_KEY = "hub";
+
+/** Least time without a heartbeat after which a daemon counts as lost: a few heartbeats of an
+ * owner. It is short because callers wait for owners. */
+constexpr common::Duration MIN_HEARTBEAT_TIMEOUT{650'000};
+/** The same in halves of the sender's heartbeat interval. Two datagrams lost in a row don't make a
+ * daemon lost. */
+constexpr int TIMEOUT_HALF_INTERVALS = 5;
+/** Time without an answer after which a hub becomes suspect and others are preferred. A hub answers
+ * at once. */
 constexpr common::Duration SUSPECT_AFTER{900'000};
-/** Time after which a hub that was passed over is tried again. */
+/** Time after which a suspect hub is tried again. */
 constexpr common::Duration SUSPECT_FOR{4'000'000};
-/** Time for which a daemon stays a hub after it was last asked: three of the asker's intervals. */
-constexpr common::Duration ASKED_FOR{1'500'000};
-/** Time in which registered daemons are taken to be alive unheard, after their entry was first
- * seen, and in which all have spoken to a new hub: all machines start within 0.3 s, and a start
- * takes some tenths. */
-constexpr common::Duration GREETING{2'000'000};
-/** Time in which those whom the last hub heard make themselves heard by the one that takes over. */
-constexpr common::Duration TAKE_OVER{1'500'000};
-/** Time for which a daemon stays listed that no source speaks for any more, after its last word: a
- * new hub of its zone takes over within SUSPECT_AFTER and lists it after another message. */
-constexpr common::Duration KEPT_UNHEARD{3'750'000};
-/** The same where a hub of its zone that has had time to hear all does not hear it. */
-constexpr common::Duration KEPT_BESIDE_INFORMED{1'600'000};
-/** Time for which a partner that is no longer needed is still written to, so that it does not take
- * the end of the messages for a loss: two heartbeats, of which one may be lost. */
-constexpr common::Duration LEAVING{1'000'000};
-/** Time for which the last view is kept without a word of anybody. */
-constexpr common::Duration VIEW_KEPT{4'000'000};
-/** Time for which a hub asks for the hubs of the other zones after it became one, and how often it
- * does so later: hubs that began apart find each other. */
-constexpr common::Duration SEEK_FOR{3'000'000};
-constexpr common::Duration SEEK_AGAIN{8'000'000};
-constexpr common::Duration SEEK_AGAIN_FOR{600'000};
-/** Least time between two versions of a list to the same daemon, so that changes gather. */
-constexpr common::Duration LIST_PAUSE{200'000};
-/** Time after which a list that was not confirmed is sent again. */
-constexpr common::Duration LIST_RESEND{700'000};
-
-/** Members of the lists in one message, of 37.5 bytes each: a datagram takes 65,507 bytes, and one
- * that is larger is never sent. The lists of all zones reach that at 1,740 daemons. */
-constexpr std::size_t MOST_LISTED = 400;
-
-/** Orders hubs: large machines first, then by a hash that all daemons share. */
-bool goes_first(const member& a, const member& b) {
+/** Time for which a daemon stays a hub after the last request: three heartbeat intervals of the
+ * daemon that requests it. */
+constexpr common::Duration HUB_REQUEST_LIFETIME{1'500'000};
+/** Time for which registered daemons count as live without a heartbeat after their entry was first
+ * seen, and in which all daemons have sent a heartbeat to a new hub. All machines start within
+ * 0.3 s, and a start takes some tenths of a second. */
+constexpr common::Duration STARTUP_GRACE{2'000'000};
+/** Time in which the daemons that sent heartbeats to the previous hub send one to its successor. */
+constexpr common::Duration HUB_TAKEOVER_GRACE{1'500'000};
+/** Time for which a daemon stays listed after the last support by any source. A new hub of its zone
+ * takes over within SUSPECT_AFTER and lists it after another message. */
+constexpr common::Duration RETENTION{3'750'000};
+/** The same where a hub of its zone receives no heartbeat from it, although it has had time to
+ * receive one from every daemon. */
+constexpr common::Duration RETENTION_IN_COMPLETE_ZONE{1'600'000};
+/** Time for which heartbeats to a former partner go on, so that it does not take their end for the
+ * loss of this daemon: two heartbeats, of which one may be lost. */
+constexpr common::Duration PARTNER_LINGER{1'000'000};
+/** Time for which the last view is kept when no heartbeat is received from any daemon. */
+constexpr common::Duration ISOLATION_TIMEOUT{4'000'000};
+/** Time for which a daemon looks for the hubs of the other zones after it became a hub. It repeats
+ * that periodically, so that hubs which started separately find each other. */
+constexpr common::Duration INITIAL_DISCOVERY{3'000'000};
+constexpr common::Duration DISCOVERY_PERIOD{8'000'000};
+constexpr common::Duration PERIODIC_DISCOVERY{600'000};
+/** Least time between two versions of a list to the same daemon, so that changes are batched. */
+constexpr common::Duration MIN_LIST_INTERVAL{200'000};
+/** Time after which a list that was not acknowledged is sent again. */
+constexpr common::Duration LIST_RESEND_AFTER{700'000};
+
+/** Most members in the lists of one message, of 37.5 bytes each. A datagram takes up to 65,507
+ * bytes, and a larger one is never sent. The lists of all zones reach that size at 1,740 daemons.
+ */
+constexpr std::size_t MAX_LISTED_MEMBERS = 400;
+
+/** @return true if a is preferred to b as a hub: large machines first, then by a hash that is the
+ * same on all daemons. */
+bool is_preferred_hub(const member& a, const member& b) {
   if (a.capacity != b.capacity) {
     return a.capacity > b.capacity;
   }
-  const std::uint64_t first = common::StableHash(HUB, a.name);
-  const std::uint64_t second = common::StableHash(HUB, b.name);
+  const std::uint64_t first = common::StableHash(HUB_HASH_KEY, a.name);
+  const std::uint64_t second = common::StableHash(HUB_HASH_KEY, b.name);
   return first != second ? first < second : a.name < b.name;
 }
 
@@ -82,9 +87,9 @@
 void live_view::add_registered(member daemon, common::Instant now) {
   const bool is_new = !this->registered.contains(daemon.name);
   const auto contact = this->contacts.find(daemon.name);
-  const bool unheard = contact == this->contacts.end() || !contact->second.last_heartbeat;
-  if (is_new && unheard && !this->view_complete && daemon.name != this->self.name) {
-    this->known_members.presume_live(daemon, now + GREETING);
+  const bool no_heartbeat = contact == this->contacts.end() || !contact->second.last_heartbeat;
+  if (is_new && no_heartbeat && !this->view_complete && daemon.name != this->self.name) {
+    this->known_members.presume_live(daemon, now + STARTUP_GRACE);
     this->sources_changed = true;
   }
   this->registered_zones.insert(daemon.zone);
@@ -94,7 +99,7 @@
 bool live_view::awaits_discovered_hubs() const {
   return std::any_of(this->discovered.begin(), this->discovered.end(), [&](const auto& each) {
     const auto known = this->contacts.find(each.first);
-    if (known == this->contacts.end() || !known->second.heard) {
+    if (known == this->contacts.end() || !known->second.last_heartbeat) {
       return true;
     }
     return known->second.is_hub && known->second.lists.empty();
@@ -102,7 +107,7 @@
 }
 
 bool live_view::isolated(common::Instant now) const {
-  return this->last_heartbeat_from_any && now >= *this->last_heartbeat_from_any + VIEW_KEPT;
+  return this->last_heartbeat_from_any && now >= *this->last_heartbeat_from_any + ISOLATION_TIMEOUT;
 }
 
 bool live_view::needs_discovery(common::Instant now) const {
@@ -110,7 +115,7 @@
     return !this->view_complete;
   }
   const common::Duration as_hub = now - this->hub_since.value_or(now);
-  return as_hub < SEEK_FOR || as_hub % SEEK_AGAIN < SEEK_AGAIN_FOR;
+  return as_hub < INITIAL_DISCOVERY || as_hub % DISCOVERY_PERIOD < PERIODIC_DISCOVERY;
 }
 
 std::vector<member> live_view::known_hubs(common::Instant now) const {
@@ -129,28 +134,29 @@
 }
 
 void live_view::apply_epoch(contact& from, const view_message& message, common::Instant now) {
-  const bool began_anew = from.last_heartbeat && from.epoch != message.epoch;
-  if (began_anew || (from.last_heartbeat && !has_recent_heartbeat(from, now))) {
-    // What it told before is out of date: it may never have heard of those whom it listed.
+  const bool epoch_changed = from.last_heartbeat && from.epoch != message.epoch;
+  if (epoch_changed || (from.last_heartbeat && !has_recent_heartbeat(from, now))) {
+    // Its earlier lists are out of date. It may have had no heartbeat from the daemons in them.
     this->clear_lists(from);
   }
-  if (began_anew) {
+  if (epoch_changed) {
     from.hub_requested_at = common::Instant(0);
     from.sent.clear();
   }
   from.epoch = message.epoch;
   const bool narrower = from.covers_all_zones && !message.covers_all_zones;
   if (narrower || (from.is_hub && !message.from_hub)) {
-    // What a hub tells its zone has more than what it tells a fellow: that alone it hears itself.
+    // A hub's lists for its zone contain more than its list for other hubs, which has only the
+    // daemons that send heartbeats to it.
     this->clear_lists(from);
   }
 }
 
 void live_view::apply_list(contact& from, const zone_list& list, common::Instant now) {
-  zone_list& held = from.lists[list.zone];
+  zone_list& previous = from.lists[list.zone];
   const bool counts = this->is_source(from);
   std::set<std::string> before;
-  for (const member& each : held.members) {
+  for (const member& each : previous.members) {
     before.insert(each.name);
   }
   for (const member& each : list.members) {
@@ -167,7 +173,7 @@
       this->known_members.record_drop(each, from.reported.name, now);
     }
   }
-  held = list;
+  previous = list;
   this->sources_changed = true;
 }
 
@@ -180,9 +186,9 @@
   contact& from = this->contacts[sender.name];
   this->apply_epoch(from, message, now);
   const bool was_hub = std::exchange(from.is_hub, message.from_hub);
-  const bool was_informed = std::exchange(from.is_complete, message.complete);
+  const bool was_complete = std::exchange(from.is_complete, message.complete);
   const bool changed = !from.reachable || from.reported != sender || was_hub != from.is_hub ||
-                       was_informed != from.is_complete;
+                       was_complete != from.is_complete;
   this->sources_changed = this->sources_changed || changed;
   from.reported = sender;
   from.last_heartbeat = now;
@@ -190,7 +196,7 @@
   from.interval = interval;
   from.covers_all_zones = message.covers_all_zones;
   from.zone_count = message.zone_count;
-  // Who asks no more has chosen other hubs.
+  // A daemon that no longer requests this hub has chosen others.
   const bool left =
       std::exchange(from.hub_requested_at, message.requests_hub_role ? now : common::Instant(0))
               .count() > 0 &&
@@ -207,19 +213,19 @@
     if (hub.name == this->self.name) {
       continue;
     }
-    // The sender has heard of it lately.
+    // The sender has recent knowledge of this hub.
     this->add_registered(hub, now);
     const auto known = this->contacts.find(hub.name);
     if (known == this->contacts.end() || !has_recent_heartbeat(known->second, now)) {
-      this->discovered[hub.name] = now + KEPT_UNHEARD;
+      this->discovered[hub.name] = now + RETENTION;
     }
   }
 }
 
 bool live_view::has_recent_heartbeat(const contact& each, common::Instant now) {
-  const common::Duration silence =
-      std::max(SHORTEST_SILENCE, each.interval * SILENT_HALF_INTERVALS / 2);
-  return each.last_heartbeat && now < *each.last_heartbeat + silence;
+  const common::Duration timeout =
+      std::max(MIN_HEARTBEAT_TIMEOUT, each.interval * TIMEOUT_HALF_INTERVALS / 2);
+  return each.last_heartbeat && now < *each.last_heartbeat + timeout;
 }
 
 bool live_view::is_suspect(const std::string& name, common::Instant now) const {
@@ -233,14 +239,14 @@
   if (list != this->merged_lists.end()) {
     candidates = list->second.members;
   }
-  const bool lost = candidates.empty();
+  const bool zone_is_empty = candidates.empty();
   for (const auto& [name, each] : this->registered) {
-    if (each.zone != zone || (!lost && this->discovered.empty())) {
+    if (each.zone != zone || (!zone_is_empty && this->discovered.empty())) {
       continue;
     }
     const bool listed = std::any_of(candidates.begin(), candidates.end(),
                                     [&](const member& other) { return other.name == each.name; });
-    if (!listed && (lost || this->discovered.contains(name))) {
+    if (!listed && (zone_is_empty || this->discovered.contains(name))) {
       candidates.push_back(each);
     }
   }
@@ -253,7 +259,7 @@
   }
   const std::size_t count = std::min(candidates.size(), this->policy.hubs_per_zone);
   const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(count);
-  std::partial_sort(candidates.begin(), end, candidates.end(), goes_first);
+  std::partial_sort(candidates.begin(), end, candidates.end(), is_preferred_hub);
   candidates.erase(end, candidates.end());
   return candidates;
 }
@@ -274,7 +280,7 @@
   if (a.reported.stopping != b.reported.stopping) {
     return b.reported.stopping;
   }
-  return goes_first(a.reported, b.reported);
+  return is_preferred_hub(a.reported, b.reported);
 }
 
 void live_view::set_list(zone_list& list, const std::string& zone, std::vector<member> members) {
@@ -290,13 +296,14 @@
     if (each.is_partner && now >= answered + SUSPECT_AFTER && now >= each.suspect_until) {
       each.suspect_until = now + SUSPECT_FOR;
     }
-    const bool spoke = std::exchange(each.reachable, has_recent_heartbeat(each, now));
-    this->sources_changed = this->sources_changed || spoke != each.reachable;
-    if (!spoke || each.reachable) {
+    const bool was_reachable = std::exchange(each.reachable, has_recent_heartbeat(each, now));
+    this->sources_changed = this->sources_changed || was_reachable != each.reachable;
+    if (!was_reachable || each.reachable) {
       continue;
     }
     this->clear_lists(each);
-    // Of another zone the hubs there tell, which hear it more often.
+    // The loss of a daemon of another zone is reported by the hubs there, to which it sends
+    // heartbeats more often.
     if (each.reported.zone == this->self.zone && this->expects_heartbeats_from(each, now)) {
       this->known_members.record_drop(name, "", now);
     }
@@ -315,7 +322,8 @@
 }
 
 bool live_view::is_source(const contact& each) const {
-  // A hub's view has what this daemon tells that hub: as a hub it takes what others hear alone.
+  // A hub's full view contains what this daemon has sent to that hub. So a hub uses only the lists
+  // of daemons that send heartbeats to other hubs.
   return each.is_hub &&
          (this->acts_as_hub ? !each.covers_all_zones : each.covers_all_zones || each.is_partner);
 }
@@ -333,27 +341,28 @@
 }
 
 void live_view::rebuild_direct_list(common::Instant now) {
-  std::map<std::string, member> heard{{this->self.name, this->self}};
+  std::map<std::string, member> direct{{this->self.name, this->self}};
   for (const auto& [name, each] : this->contacts) {
     if (this->belongs_in_direct_list(each)) {
-      heard.emplace(name, each.reported);
+      direct.emplace(name, each.reported);
     }
   }
   for (const member& each : this->direct_list.members) {
     const auto contact = this->contacts.find(each.name);
-    const bool lives = contact != this->contacts.end() && contact->second.reachable;
-    if (lives && !heard.contains(each.name)) {
-      this->moved_until[each.name] = now + KEPT_UNHEARD;
+    const bool is_reachable = contact != this->contacts.end() && contact->second.reachable;
+    if (is_reachable && !direct.contains(each.name)) {
+      this->moved_until[each.name] = now + RETENTION;
     }
   }
-  std::erase_if(this->moved_until,
-                [&](const auto& each) { return now >= each.second || heard.contains(each.first); });
+  std::erase_if(this->moved_until, [&](const auto& each) {
+    return now >= each.second || direct.contains(each.first);
+  });
   this->direct_list.moved.clear();
   for (const auto& [name, until] : this->moved_until) {
     this->direct_list.moved.push_back(name);
   }
   std::vector<member> members;
-  for (auto& [name, each] : heard) {
+  for (auto& [name, each] : direct) {
     members.push_back(std::move(each));
   }
   this->set_list(this->direct_list, this->self.zone, std::move(members));
@@ -365,8 +374,8 @@
     zones.insert(this->self.zone);
   }
   for (const auto& [name, each] : this->contacts) {
-    const bool hears_zone = each.is_hub && !each.covers_all_zones && each.is_complete;
-    if (each.reachable && hears_zone && each.lists.contains(each.reported.zone)) {
+    const bool is_complete_hub = each.is_hub && !each.covers_all_zones && each.is_complete;
+    if (each.reachable && is_complete_hub && each.lists.contains(each.reported.zone)) {
       zones.insert(each.reported.zone);
     }
   }
@@ -391,27 +400,27 @@
       }
     }
   }
-  bool hears_any = false;
+  bool any_reachable = false;
   for (const auto& [name, each] : this->contacts) {
     if (each.reachable) {
       this->known_members.support_by_heartbeat(each.reported, *each.last_heartbeat);
-      hears_any = true;
+      any_reachable = true;
     }
   }
-  const std::set<std::string> informed = this->complete_zones();
-  roster::retention unheard;
-  unheard.time_of_last_support = [&](const roster::entry& each) {
+  const std::set<std::string> complete = this->complete_zones();
+  roster::retention rules;
+  rules.time_of_last_support = [&](const roster::entry& each) {
     const auto source = this->contacts.find(each.source);
     return source == this->contacts.end() ? now : source->second.last_heartbeat.value_or(now);
   };
-  unheard.retained_until = [&](const roster::entry& each) {
-    if (!hears_any) {
-      return common::Instant::max();  // it is this daemon that hears nobody
+  rules.retained_until = [&](const roster::entry& each) {
+    if (!any_reachable) {
+      return common::Instant::max();  // this daemon itself is cut off
     }
-    const bool unheard_there = informed.contains(each.reported.zone);
-    return *each.last_support + (unheard_there ? KEPT_BESIDE_INFORMED : KEPT_UNHEARD);
+    const bool in_complete_zone = complete.contains(each.reported.zone);
+    return *each.last_support + (in_complete_zone ? RETENTION_IN_COMPLETE_ZONE : RETENTION);
   };
-  this->known_members.end_round(unheard, now);
+  this->known_members.end_round(rules, now);
   if (this->acts_as_hub) {
     this->count_unreachable();
   }
@@ -431,19 +440,20 @@
     return;
   }
   const common::Duration as_hub = now - this->hub_since.value_or(now);
-  const bool had_time = as_hub >= (this->view_complete ? TAKE_OVER : GREETING);
-  const bool hears_known = this->view_complete && this->kept_without_source == 0;
-  const bool hears_all = this->listed_by_others == 0 && (had_time || hears_known);
-  this->sources_changed = this->sources_changed || hears_all != this->own_zone_complete;
-  this->own_zone_complete = hears_all;
+  const bool had_time = as_hub >= (this->view_complete ? HUB_TAKEOVER_GRACE : STARTUP_GRACE);
+  const bool all_reachable = this->view_complete && this->kept_without_source == 0;
+  const bool complete = this->listed_by_others == 0 && (had_time || all_reachable);
+  this->sources_changed = this->sources_changed || complete != this->own_zone_complete;
+  this->own_zone_complete = complete;
   if (this->view_complete || this->awaits_discovered_hubs() || this->isolated(now)) {
     return;
   }
-  const std::set<std::string> informed = this->complete_zones();
+  const std::set<std::string> with_complete_hub = this->complete_zones();
   const std::set<std::string> all = this->known_zones();
-  const bool covered = all.size() >= this->highest_zone_count() &&
-                       std::includes(informed.begin(), informed.end(), all.begin(), all.end());
-  this->view_complete = covered || as_hub >= KEPT_UNHEARD;
+  const bool covered =
+      all.size() >= this->highest_zone_count() &&
+      std::includes(with_complete_hub.begin(), with_complete_hub.end(), all.begin(), all.end());
+  this->view_complete = covered || as_hub >= RETENTION;
 }
 
 std::size_t live_view::highest_zone_count() const {
@@ -457,12 +467,12 @@
 void live_view::count_unreachable() {
   this->listed_by_others = 0;
   this->kept_without_source = 0;
-  std::set<std::string> heard;
+  std::set<std::string> direct;
   for (const member& each : this->direct_list.members) {
-    heard.insert(each.name);
+    direct.insert(each.name);
   }
   for (const auto& [name, each] : this->known_members.all()) {
-    if (each.reported.zone != this->self.zone || heard.contains(name)) {
+    if (each.reported.zone != this->self.zone || direct.contains(name)) {
       continue;
     }
     ++(each.supported ? this->listed_by_others : this->kept_without_source);
@@ -471,7 +481,8 @@
 
 bool live_view::is_client(const contact& each, common::Instant now) const {
   return each.last_heartbeat && each.hub_requested_at.count() > 0 &&
-         now < each.hub_requested_at + ASKED_FOR && each.reported.zone == this->self.zone;
+         now < each.hub_requested_at + HUB_REQUEST_LIFETIME &&
+         each.reported.zone == this->self.zone;
 }
 
 void live_view::set_hub_role(bool as_hub, common::Instant now) {
@@ -514,19 +525,19 @@
 
 void live_view::choose_partners(common::Instant now) {
   std::vector<member> hubs = this->preferred_hubs(this->self.zone, now);
-  const bool among_first = std::any_of(
+  const bool is_preferred = std::any_of(
       hubs.begin(), hubs.end(), [&](const member& each) { return each.name == this->self.name; });
-  const bool asked =
+  const bool has_clients =
       std::any_of(this->contacts.begin(), this->contacts.end(),
                   [&](const auto& each) { return this->is_client(each.second, now); });
-  // A hub that stops goes on for those who still ask it, until they have another.
-  this->set_hub_role(among_first || asked, now);
+  // A stopping hub continues to serve the daemons that still request it until they have another.
+  this->set_hub_role(is_preferred || has_clients, now);
   std::map<std::string, member> chosen;
   if (this->acts_as_hub) {
     for (const std::string& zone : this->known_zones()) {
       if (zone != this->self.zone) {
-        const std::vector<member> far = this->preferred_hubs(zone, now);
-        hubs.insert(hubs.end(), far.begin(), far.end());
+        const std::vector<member> other_zone_hubs = this->preferred_hubs(zone, now);
+        hubs.insert(hubs.end(), other_zone_hubs.begin(), other_zone_hubs.end());
       }
     }
     for (const auto& [name, each] : this->contacts) {
@@ -562,8 +573,8 @@
   for (auto& [name, each] : this->contacts) {
     if (each.is_partner && !chosen.contains(name)) {
       each.is_partner = false;
-      each.linger_until = now + LEAVING;
-      // It no longer sends what changes.
+      each.linger_until = now + PARTNER_LINGER;
+      // It no longer sends updates of its lists.
       this->clear_lists(each);
     }
     if (each.is_partner || now < each.linger_until) {
@@ -579,7 +590,7 @@
     by_zone[each.reported.zone].push_back(name == this->self.name ? this->self : each.reported);
   }
   for (const auto& [zone, list] : this->merged_lists) {
-    // Where nobody is left the list is told as well, or others would keep the last one.
+    // An empty list is sent too. Otherwise others would keep the previous one.
     by_zone.try_emplace(zone);
   }
   std::vector<member> next;
@@ -669,15 +680,16 @@
 }
 
 bool live_view::is_due(const contact& each, const zone_list& list, common::Instant now) const {
-  const auto held = each.acknowledged.find(list.zone);
-  if (held != each.acknowledged.end() && held->second == list.digest) {
+  const auto acknowledged = each.acknowledged.find(list.zone);
+  if (acknowledged != each.acknowledged.end() && acknowledged->second == list.digest) {
     return false;
   }
   const auto sent = each.sent.find(list.zone);
   if (sent == each.sent.end()) {
     return true;
   }
-  const common::Duration pause = sent->second.digest == list.digest ? LIST_RESEND : LIST_PAUSE;
+  const common::Duration pause =
+      sent->second.digest == list.digest ? LIST_RESEND_AFTER : MIN_LIST_INTERVAL;
   return now >= sent->second.at + pause;
 }
 
@@ -706,7 +718,7 @@
   message.covers_all_zones = this->acts_as_hub && !to.is_hub && this->is_client(to, now);
   message.complete = this->acts_as_hub &&
                      (message.covers_all_zones ? this->view_complete : this->own_zone_complete);
-  // Those who ask this daemon know less than it does.
+  // This daemon's clients know fewer hubs than it does.
   message.requests_discovery = message.requests_discovery && !this->is_client(to, now);
   message.requests_hub_role =
       to.is_partner && !this->acts_as_hub && to.reported.zone == this->self.zone;
@@ -719,8 +731,8 @@
   message.zone_count = this->view_complete ? this->merged_lists.size() : 0;
   std::size_t listed = 0;
   for (const zone_list* list : lists) {
-    // The rest is still owed, and goes with the next message.
-    const bool fits = listed == 0 || listed + list->members.size() <= MOST_LISTED;
+    // The other lists stay pending and go with the next message.
+    const bool fits = listed == 0 || listed + list->members.size() <= MAX_LISTED_MEMBERS;
     if (fits && this->is_due(to, *list, now)) {
       listed += list->members.size();
       message.lists.push_back(*list);
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -1,8 +1,7 @@
 /**
- * @file What daemons tell each other about who lives.
+ * @file Values that daemons exchange about the membership of the deployment.
  *
- * Owns: the typed values. Invariant: equal lists have equal digests on every daemon. Thread: any
- * (values only).
+ * Invariant: equal lists have equal digests on every daemon. Values only; safe on any thread.
  */
 #pragma once
 
@@ -15,13 +14,13 @@
 
 namespace valvekeel::membership {
 
-/** A daemon that is taken to be alive. */
+/** A daemon that counts as live. */
 struct member {
   std::string name;
   std::string zone;
-  common::Endpoint address;      // for messages of other daemons
-  std::uint32_t capacity = 0;    // thousandths of a processor core; 0 if it was never told
-  bool store_connected = false;  // it has just been answered, or follows the store closely
+  common::Endpoint address;      // for messages from other daemons
+  std::uint32_t capacity = 0;    // thousandths of a processor core; 0 if unknown
+  bool store_connected = false;  // the store has just answered it, or it follows the store closely
   bool stopping = false;         // takes no further work
 
   bool operator==(const member&) const = default;
@@ -32,10 +31,10 @@
   std::string zone;
   std::uint64_t digest = 0;        // of the members
   std::vector<member> members;     // by name
-  std::vector<std::string> moved;  // no longer listed since they chose other hubs a moment ago
+  std::vector<std::string> moved;  // no longer listed because they recently chose other hubs
 };
 
-/** Names a list without its contents. */
+/** Identifies a version of a list without its contents. */
 struct list_digest {
   std::string zone;
   std::uint64_t digest = 0;
@@ -43,24 +42,24 @@
   bool operator==(const list_digest&) const = default;
 };
 
-/** The part of a heartbeat that is about who lives. */
+/** The membership part of a heartbeat. */
 struct view_message {
-  bool requests_hub_role = false;  // the receiver shall act as the sender's hub
+  bool requests_hub_role = false;  // asks the receiver to act as the sender's hub
   bool from_hub = false;           // the sender acts as a hub
-  bool complete = false;           // the sender's lists lack nobody
-  bool covers_all_zones = false;   // its lists are about all zones, else only about its own
-  /** Changes as the sender starts and as it becomes a hub; 0 if it does not say. Lists of two
-   * epochs are not to be compared. */
+  bool complete = false;           // no live daemon is missing from the sender's lists
+  bool covers_all_zones = false;   // its lists cover all zones, else only its own
+  /** Changes when the sender starts and when it becomes a hub; 0 if the sender does not state it.
+   * Lists of different epochs must not be compared. */
   std::uint64_t epoch = 0;
-  std::size_t zone_count = 0;       // in the sender's view; 0 if that is not whole
-  bool large_deployment = false;    // the deployment is too large for all to hear each other
-  bool requests_discovery = false;  // the sender does not know its hubs: introduce them
-  std::vector<member> known_hubs;   // the first hubs of all zones, as far as the sender knows
-  std::vector<list_digest> acknowledged_lists;  // lists of the receiver's that the sender holds
-  std::vector<zone_list> lists;                 // what the receiver lacks
+  std::size_t zone_count = 0;       // in the sender's view; 0 if that is incomplete
+  bool large_deployment = false;    // too large for all daemons to exchange heartbeats
+  bool requests_discovery = false;  // the sender does not know its hubs and asks for them
+  std::vector<member> known_hubs;   // the preferred hubs of all zones, according to the sender
+  std::vector<list_digest> acknowledged_lists;  // the receiver's lists that the sender has
+  std::vector<zone_list> lists;                 // lists that the receiver does not have yet
 };
 
-/** @return the digest of a list: changes with any field of any member. */
+/** @return the digest of a list. It changes with any field of any member. */
 std::uint64_t digest_of(const std::vector<member>& members);
 
 }  // namespace valvekeel::membership
--- a/src/membership/roster.cc
+++ b/src/membership/roster.cc
@@ -6,9 +6,9 @@
 namespace valvekeel::membership {
 namespace {
 
-/** Time for which a drop counts: a source that listed the daemon all the while has spoken for it
- * again by then. */
-constexpr common::Duration DROP_COUNTS{3'000'000};
+/** Time for which a drop takes effect. By then a source that has listed the daemon throughout has
+ * supported it again. */
+constexpr common::Duration DROP_LIFETIME{3'000'000};
 
 }  // namespace
 
@@ -56,9 +56,9 @@
   each.presumed_until = common::Instant(0);
 }
 
-void roster::support_by_heartbeat(const member& daemon, common::Instant heard) {
+void roster::support_by_heartbeat(const member& daemon, common::Instant last_heartbeat) {
   entry& each = this->entries[daemon.name];
-  if (each.dropped_at && heard > *each.dropped_at) {
+  if (each.dropped_at && last_heartbeat > *each.dropped_at) {
     each.dropped_at.reset();
   }
   if (!each.dropped_at) {
@@ -66,7 +66,7 @@
   }
 }
 
-void roster::end_round(const retention& unheard, common::Instant now) {
+void roster::end_round(const retention& rules, common::Instant now) {
   this->first_expiry.reset();
   for (auto at = this->entries.begin(); at != this->entries.end();) {
     entry& each = at->second;
@@ -76,16 +76,16 @@
     }
     const bool presumed = each.presumed_until.count() > 0;
     if (!each.last_support && !presumed) {
-      each.last_support = unheard.time_of_last_support(each);
+      each.last_support = rules.time_of_last_support(each);
     }
-    const bool spoken_for_since =
+    const bool supported_since =
         each.dropped_at && each.dropped_by != each.source && each.last_support > *each.dropped_at;
-    if (each.dropped_at && now < *each.dropped_at + DROP_COUNTS && !spoken_for_since) {
+    if (each.dropped_at && now < *each.dropped_at + DROP_LIFETIME && !supported_since) {
       this->last_drop_source = each.dropped_by;
       at = this->entries.erase(at);
       continue;
     }
-    const common::Instant end = presumed ? each.presumed_until : unheard.retained_until(each);
+    const common::Instant end = presumed ? each.presumed_until : rules.retained_until(each);
     if (now >= end) {
       at = this->entries.erase(at);
       continue;
--- a/src/membership/roster.h
+++ b/src/membership/roster.h
@@ -1,12 +1,13 @@
 /**
- * @file Who is taken to be alive, and on whose word.
+ * @file The daemons that count as live, and the source that reports each of them.
  *
- * A daemon stays in the roster while a source speaks for it: a hub that lists it, or the daemon
- * itself. It leaves when a source that had listed it does so no longer and no other does, or after
- * silence of everybody about it. That a source has never listed it says nothing.
+ * A daemon stays in the roster while a source supports it: a hub that lists it, or the daemon
+ * itself. It leaves when a source that listed it stops doing so and no other source lists it, or
+ * when no source has supported it for the retention time. A source that has never listed a daemon
+ * is no evidence against it.
  *
- * Owns: the entries. Invariant: between rounds each entry is supported or has a time at which it
- * goes. Pure. Thread: its owner's.
+ * Owns: the entries. Invariant: between rounds each entry is supported or has an expiry time. No
+ * I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -23,60 +24,60 @@
 class roster {
  public:
   struct entry {
-    member reported;         // by the source that is preferred
+    member reported;         // by the preferred source
     bool supported = false;  // in this round
-    std::string source;      // who spoke for it in the last round in which anybody did
-    /** When a source spoke for it last, from the moment on in which none does. */
+    std::string source;      // that supported it in the last round in which any did
+    /** The last time at which a source supported it. Empty while one does. */
     std::optional<common::Instant> last_support;
-    /** Until when it is kept although nobody has spoken for it yet. */
+    /** Until this time it is kept although no source has supported it yet. */
     common::Instant presumed_until{0};
-    /** When a source that had listed it ceased to, unless another has listed it since. */
+    /** When a source stopped listing it, unless another source has listed it since. */
     std::optional<common::Instant> dropped_at;
     std::string dropped_by;
   };
-  /** What is known of those for whom nobody speaks any more. */
+  /** Rules for entries that no source supports any more. */
   struct retention {
-    /** @return when the source spoke last of which this is an entry. */
+    /** @return when the entry's source last sent a heartbeat. */
     std::function<common::Instant(const entry&)> time_of_last_support;
-    /** @return until when an entry is kept since its last word. */
+    /** @return until when an entry is kept after its last support. */
     std::function<common::Instant(const entry&)> retained_until;
   };
 
-  /** Keeps a daemon until then although no source speaks for it. */
+  /** Keeps a daemon until this time although no source supports it. */
   void presume_live(const member& daemon, common::Instant until);
 
-  /** A source that had listed the daemon does so no longer.
+  /** Records that a source has stopped listing the daemon.
    *
-   * @param source  the hub's name; empty if it is this daemon, which heard it itself */
+   * @param source  the hub's name; empty if this daemon no longer receives the heartbeats itself */
   void record_drop(const std::string& name, const std::string& source, common::Instant now);
 
-  /** A source lists the daemon that it had not listed. */
+  /** Clears the recorded drop: a source lists the daemon that did not list it before. */
   void clear_drop(const std::string& name);
 
-  /** Begins a round, in which all sources are asked anew, the preferred ones first. */
+  /** Begins a round, in which all sources are evaluated again, the preferred ones first. */
   void begin_round();
 
-  /** A source lists this daemon. */
+  /** Records that a source lists this daemon. */
   void support(const member& daemon, const std::string& source);
 
-  /** The daemon itself was heard; this does not count if a hub dropped it since.
+  /** Records a heartbeat from the daemon itself. It has no effect if a hub has dropped the daemon
+   * since.
    *
-   * @param heard  when */
-  void support_by_heartbeat(const member& daemon, common::Instant heard);
+   * @param last_heartbeat  when it was received */
+  void support_by_heartbeat(const member& daemon, common::Instant last_heartbeat);
 
-  /** Ends the round: who is no longer kept leaves. */
-  void end_round(const retention& unheard, common::Instant now);
+  /** Ends the round and removes the entries that are no longer kept. */
+  void end_round(const retention& rules, common::Instant now);
 
-  /** Forgets all. */
   void clear() { this->entries.clear(); }
 
   const std::map<std::string, entry>& all() const { return this->entries; }
 
-  /** @return when the next entry goes that nobody speaks for, or nothing. */
+  /** @return when the next unsupported entry expires, or nothing. */
   std::optional<common::Instant> next_expiry() const { return this->first_expiry; }
 
-  /** @return who ceased to list the daemon that left last in this round; empty if it is this one or
-   * nobody. */
+  /** @return the hub whose drop removed an entry last in this round; empty if it was this daemon or
+   * there was no such entry. */
   const std::string& last_dropped_by() const { return this->last_drop_source; }
 
  private:
