--- a/src/host/metrics.cc
+++ b/src/host/metrics.cc
@@ -152,7 +152,7 @@
   Gauge("valvekeel_relayed_sessions_total", "Sessions handed to an owner", {{"outcome", "retried"}},
         static_cast<double>(relayed.retried));
   Gauge("valvekeel_relayed_sessions_total", "Sessions handed to an owner",
-        {{"outcome", "served_here"}}, static_cast<double>(relayed.served_here));
+        {{"outcome", "served_here"}}, static_cast<double>(relayed.served_locally));
   Gauge("valvekeel_relayed_sessions_total", "Sessions handed to an owner", {{"outcome", "moved"}},
         static_cast<double>(relayed.moved));
   Gauge("valvekeel_sessions_outside_regions_total", "Sessions that no region may run", {},
--- a/src/host/proxy_host.cc
+++ b/src/host/proxy_host.cc
@@ -152,7 +152,7 @@
     const auto stream_now = weak.lock();
     const std::size_t end = arrival->line.find('\n');
     const auto handover = relay::decode(std::string_view(arrival->line).substr(0, end));
-    if (end == std::string::npos && arrival->line.size() < relay::LONGEST_HANDOVER) {
+    if (end == std::string::npos && arrival->line.size() < relay::MAX_HANDOVER_BYTES) {
       return;
     }
     if (end == std::string::npos || !handover) {
@@ -162,7 +162,8 @@
     }
     const std::string rest = arrival->line.substr(end + 1);
     arrival->number = AddSession(
-        stream_now, {true, {daemon, 0}, handover->least_configuration, handover->takes_goodbye});
+        stream_now,
+        {true, {daemon, 0}, handover->least_configuration, handover->supports_end_request});
     if (arrival->number != 0 && !rest.empty()) {
       CallerBytes(arrival->number, rest);
     }
--- a/src/host/proxy_host_actions.cc
+++ b/src/host/proxy_host_actions.cc
@@ -58,7 +58,7 @@
     host_.Drain();
   }
 
-  void on_declined() override { host_.proxy_.RelayDeclined(session_, common::SteadyNow()); }
+  void on_rejected() override { host_.proxy_.RelayDeclined(session_, common::SteadyNow()); }
 
   void on_answer(const model::Reply& reply) override {
     const auto found = host_.callers_.find(session_);
@@ -69,7 +69,7 @@
     host_.Drain();
   }
 
-  void on_goodbye() override {
+  void on_end_request() override {
     host_.proxy_.RelayAskedToEnd(session_);
     host_.Drain();
   }
@@ -189,7 +189,7 @@
 void ProxyHost::Do(const proxy::AskToEnd& action) {
   const auto found = callers_.find(action.session);
   if (found != callers_.end()) {
-    found->second.stream->Send(std::string(1, relay::GOODBYE));
+    found->second.stream->Send(std::string(1, relay::END_REQUEST));
   }
 }
 
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -23,7 +23,7 @@
 
 /// @return true if the caller was just told that it may begin.
 bool AwaitsFirst(const CallerSession& session, common::Instant now) {
-  return !session.has_spoken && now < session.started + relay::FIRST_COMMAND_TIME;
+  return !session.has_spoken && now < session.started + relay::FIRST_COMMAND_GRACE;
 }
 
 }  // namespace
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -108,7 +108,7 @@
 void Proxy::CommandReceived(SessionNumber session, const CallerCommand& command,
                             common::Instant now) {
   if (relay_.Relays(session)) {
-    relay_.Sessions().command_sent(session, command.command.kind, now);
+    relay_.Sessions().on_command_sent(session, command.command.kind, now);
     return;
   }
   if (relay_.KeepCommand(session, command)) {
@@ -118,26 +118,26 @@
 }
 
 void Proxy::RelayAccepted(SessionNumber session, common::Instant now) {
-  relay_.Sessions().accepted(session, now);
+  relay_.Sessions().on_accepted(session, now);
 }
 
 void Proxy::RelayDeclined(SessionNumber session, common::Instant now) {
-  relay_.Sessions().declined(session, now);
+  relay_.Sessions().on_rejected(session, now);
 }
 
 void Proxy::RelayAnswered(SessionNumber session, model::TransactionState state,
                           common::Instant now) {
-  relay_.Sessions().answered(session, state, now);
+  relay_.Sessions().on_answered(session, state, now);
 }
 
-void Proxy::RelayAskedToEnd(SessionNumber session) { relay_.Sessions().asked_to_end(session); }
+void Proxy::RelayAskedToEnd(SessionNumber session) { relay_.Sessions().on_end_requested(session); }
 
 void Proxy::RelayHeard(SessionNumber session, bool between_messages, common::Instant now) {
-  relay_.Sessions().owner_spoke(session, between_messages, now);
+  relay_.Sessions().on_owner_bytes(session, between_messages, now);
 }
 
 void Proxy::RelayEnded(SessionNumber session, const relay::link_end& end, common::Instant now) {
-  relay_.Sessions().link_ended(session, end, now);
+  relay_.Sessions().on_link_ended(session, end, now);
 }
 
 void Proxy::SessionClosed(SessionNumber session, common::Instant now) {
@@ -409,7 +409,7 @@
 
 void Proxy::LimitConnections(const std::set<std::string>& in_use) {
   for (const auto& [name, most] : connection_limits_) {
-    backends_.SetConnectionLimit(name, roles_.connections(name, in_use.contains(name)),
+    backends_.SetConnectionLimit(name, roles_.connection_limit(name, in_use.contains(name)),
                                  roles_.coordinates() || roles_.owns(name));
   }
 }
@@ -455,7 +455,7 @@
   std::erase_if(guests_since_, [&](const auto& each) { return !foreign.contains(each.first); });
   for (const std::string& service : foreign) {
     const auto since = guests_since_.try_emplace(service, now).first;
-    if (now >= since->second + relay::GUEST_TIME) {
+    if (now >= since->second + relay::FORMER_OWNER_GRACE) {
       dispatcher_.EndResting(service, now >= since->second + kHandedOverGuestTime, now);
     }
   }
@@ -483,7 +483,8 @@
     return settings_.first_start ? now >= *started_ + kSizeKnown : catalog_.DaemonsListed();
   }
   // Only who may hold a lease must be known to those who replace primaries.
-  return roles_.known() && (roles_.watches_any() || roles_.next_to_own() || serves_guests_);
+  return roles_.computed() &&
+         (roles_.watches_any() || roles_.is_pool_candidate() || serves_guests_);
 }
 
 bool Proxy::IsListed() const {
@@ -498,7 +499,7 @@
   // In a large deployment a hub hands the configuration out, and few need the instances: all would
   // ask the seeds at once.
   const bool needed_in_large =
-      without_instances && roles_.known() && roles_.watches_any() && !catalog_.Connected();
+      without_instances && roles_.computed() && roles_.watches_any() && !catalog_.Connected();
   const bool needed =
       large_ ? needed_in_large : catalog_.Configuration().version == 0 || without_instances;
   const common::Duration patience = settings_.first_start ? kFirstFetchAfter : kFetchAfter;
@@ -525,7 +526,7 @@
 bool Proxy::InstancesKnown() const {
   // Who hands sessions to owners needs to know these alone.
   const bool relays = large_ && !roles_.meshed();
-  if (relays && !roles_.known()) {
+  if (relays && !roles_.computed()) {
     return false;
   }
   const auto& services = catalog_.Configuration().services;
@@ -552,7 +553,7 @@
 }
 
 common::Duration Proxy::TickPause() const {
-  const bool quiet = large_ && roles_.known() && !roles_.meshed() && !roles_.watches_any() &&
+  const bool quiet = large_ && roles_.computed() && !roles_.meshed() && !roles_.watches_any() &&
                      !view_.is_hub() && !stopping_since_ && ready_ &&
                      dispatcher_.SessionCount() == 0;
   return quiet ? kQuietTick : kTick;
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -19,7 +19,7 @@
   if (sends_work) {
     evacuations_.note_work(now);
   }
-  const bool coordinates = roles_.known() && roles_.coordinates();
+  const bool coordinates = roles_.computed() && roles_.coordinates();
   const evacuation::read_duty duty{store_lease_.IsReader(), sends_work, coordinates,
                                    catalog_.Connected()};
   if (!evacuation_reads_.start(duty, evacuations_, now)) {
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -85,10 +85,10 @@
 }
 
 bool Proxy::ReadsConfiguration(common::Instant now) const {
-  if (!large_ || view_.is_hub() || (roles_.known() && roles_.meshed())) {
+  if (!large_ || view_.is_hub() || (roles_.computed() && roles_.meshed())) {
     return true;
   }
-  if (roles_.known() && (roles_.coordinates() || roles_.is_deputy())) {
+  if (roles_.computed() && (roles_.coordinates() || roles_.is_deputy())) {
     return true;
   }
   const bool lacks = lacks_configuration_since_ &&
@@ -142,13 +142,13 @@
     peer->pace = common::Duration(0);
   }
   partners_.clear();
-  const bool owner = roles_.known() && roles_.watches_any();
+  const bool owner = roles_.computed() && roles_.watches_any();
   for (const membership::member& each : view_.partners()) {
     const bool to_hub = !view_.is_hub();
     AddPartner(each.address, each.name,
                owner && to_hub ? settings_.owner_heartbeat_interval : settings_.view.hub_interval);
   }
-  if (roles_.known() && (roles_.meshed() || roles_.watches_any())) {
+  if (roles_.computed() && (roles_.meshed() || roles_.watches_any())) {
     for (const membership::member& each : view_.live_daemons()) {
       const common::Duration interval = DutyInterval(each.name);
       if (each.name != settings_.name && interval.count() > 0) {
@@ -187,7 +187,7 @@
   }
   ChooseConfigurationSource(now);
   // Hubs tell who lives; the list is for those who replace primaries, and for who hears no hub.
-  catalog_.SetDiscovering(!view_.is_complete() || (roles_.known() && roles_.coordinates()));
+  catalog_.SetDiscovering(!view_.is_complete() || (roles_.computed() && roles_.coordinates()));
   view_.set_self(HasStore(now), stopping_since_.has_value());
   view_.update(now);
   LogViewChange();
@@ -230,7 +230,7 @@
   if (!large_) {
     return catalog_.Connected();
   }
-  if (!roles_.known()) {
+  if (!roles_.computed()) {
     return false;
   }
   // Who makes no calls can't say whether it would be answered. That all others say so the moment
--- a/src/proxy/proxy_stop.cc
+++ b/src/proxy/proxy_stop.cc
@@ -33,7 +33,7 @@
 
 bool Proxy::TooLateForSessions(common::Instant now) const {
   // Each that is accepted has its whole time for a first command.
-  return stopping_since_ && now >= TransactionsUntil() - relay::FIRST_COMMAND_TIME;
+  return stopping_since_ && now >= TransactionsUntil() - relay::FIRST_COMMAND_GRACE;
 }
 
 void Proxy::RefuseSession(SessionNumber session, const std::string& database,
--- a/src/proxy/proxy_tenants.cc
+++ b/src/proxy/proxy_tenants.cc
@@ -6,14 +6,14 @@
 
 namespace valvekeel::proxy {
 
-bool Proxy::Admits() const { return roles_.known() && (roles_.watches_any() || serves_guests_); }
+bool Proxy::Admits() const { return roles_.computed() && (roles_.watches_any() || serves_guests_); }
 
 bool Proxy::AllocatesRates() const {
   return settings_.tenants.rates_limited && store_lease_.IsReader();
 }
 
 void Proxy::AdvanceRates(common::Instant now) {
-  if (!settings_.tenants.rates_limited || !roles_.known()) {
+  if (!settings_.tenants.rates_limited || !roles_.computed()) {
     return;
   }
   admission_.limiter().set_sharing(roles_.meshed() ? SharingDaemons(now)
@@ -35,10 +35,10 @@
   if (counted_from && message.proof_age) {
     admission_.proof().note({message.proven_version, *counted_from - *message.proof_age});
   }
-  if (roles_.known() && roles_.coordinates() && message.rates.counts) {
+  if (roles_.computed() && roles_.coordinates() && message.rates.counts) {
     allocator_.note_usage(peer.name, peer.incarnation, message.rates.usage, now);
   }
-  const bool from_allocator = message.rates.allocates && roles_.known() &&
+  const bool from_allocator = message.rates.allocates && roles_.computed() &&
                               !roles_.coordinators().empty() &&
                               roles_.coordinators().front() == peer.name;
   if (from_allocator) {
@@ -52,7 +52,7 @@
     message.proven_version = proof->version;
     message.proof_age = now - proof->read_at;
   }
-  if (!settings_.tenants.rates_limited || !roles_.known()) {
+  if (!settings_.tenants.rates_limited || !roles_.computed()) {
     return;
   }
   if (roles_.coordinates(peer.name)) {
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -73,7 +73,7 @@
   warm_up::senders_by_service senders;
   for (const auto& [name, service] : catalog_.Configuration().services) {
     if (warm_up_.instances().warm_up_of(name) != nullptr) {
-      const bool all_send = roles_.meshed() || roles_.direct(name);
+      const bool all_send = roles_.meshed() || roles_.is_direct(name);
       senders[name] = all_send ? live : roles_.owners(name);
     }
   }
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -111,13 +111,13 @@
   return !regions_.active() || regions_.allows(database, admission_.tenant_of(key), zone);
 }
 
-bool SessionRelay::may_hold(relay::session_number session, const std::string& zone) const {
+bool SessionRelay::zone_may_serve(relay::session_number session, const std::string& zone) const {
   const Start& start = relayed_.at(session);
   return MayHold(start.database, start.key, zone);
 }
 
 void SessionRelay::RegionsChanged(common::Instant now) {
-  const std::size_t moving = sessions_.regions_changed(now);
+  const std::size_t moving = sessions_.on_regions_changed(now);
   if (moving > 0) {
     outbox_.Log("relayed_sessions_moving", {{"sessions", std::to_string(moving)}});
   }
@@ -155,7 +155,7 @@
 void SessionRelay::SessionClosed(SessionNumber session) {
   started_.erase(session);
   relayed_.erase(session);
-  sessions_.caller_closed(session);
+  sessions_.on_caller_closed(session);
 }
 
 void SessionRelay::SetConfiguration(const model::Configuration* configuration,
@@ -200,16 +200,16 @@
     return false;
   }
   const common::Duration limit =
-      std::max(relay::OWNER_SILENCE, kMissedHeartbeats * peer->last.interval);
+      std::max(relay::OWNER_TIMEOUT, kMissedHeartbeats * peer->last.interval);
   return now < *peer->heard + limit;
 }
 
-bool SessionRelay::alive(const std::string& daemon, common::Instant now) const {
+bool SessionRelay::is_reachable(const std::string& daemon, common::Instant now) const {
   // In a large deployment hubs hear the owners for all.
   return view_.find(daemon) != nullptr || HeardLately(daemon, now);
 }
 
-bool SessionRelay::stays(const std::string& daemon, common::Instant now) const {
+bool SessionRelay::is_available(const std::string& daemon, common::Instant now) const {
   const membership::member* member = view_.find(daemon);
   if (member != nullptr) {
     return !member->stopping;
@@ -227,7 +227,7 @@
 
 void SessionRelay::close_link(relay::session_number session) { outbox_.Emit(CloseRelay{session}); }
 
-void SessionRelay::serve_here(relay::session_number session, common::Instant now) {
+void SessionRelay::serve_locally(relay::session_number session, common::Instant now) {
   const Start start = relayed_.at(session);
   relayed_.erase(session);
   dispatcher_.SessionStarted(session, start.database, start.key, now);
@@ -243,23 +243,23 @@
   outbox_.Emit(AnswerCaller{session, reply, std::nullopt});
 }
 
-void SessionRelay::refuse(relay::session_number session, model::ErrorCode error,
-                          const std::string& text) {
+void SessionRelay::reject_caller(relay::session_number session, model::ErrorCode error,
+                                 const std::string& text) {
   relayed_.erase(session);
   outbox_.Emit(CloseSession{session, true, error, text});
 }
 
-void SessionRelay::end_caller(relay::session_number session) {
+void SessionRelay::close_caller(relay::session_number session) {
   relayed_.erase(session);
   outbox_.Emit(CloseSession{session});
 }
 
-void SessionRelay::note_ending(std::size_t sessions, const char* reason) {
+void SessionRelay::log_ending(std::size_t sessions, const char* reason) {
   outbox_.Log("relayed_sessions_ended",
               {{"sessions", std::to_string(sessions)}, {"reason", reason}});
 }
 
-void SessionRelay::note(const relay::relay_note& note) {
+void SessionRelay::log_session(const relay::relay_log_entry& note) {
   outbox_.Log(note.event,
               {{"session", std::to_string(note.session)},
                {"service", note.service},
@@ -267,7 +267,7 @@
                {"reason", note.reason},
                {"accepted", note.is_accepted ? "true" : "false"},
                {"unanswered", std::to_string(note.unanswered)},
-               {"told", note.is_told ? "true" : "false"},
+               {"told", note.is_answered ? "true" : "false"},
                {"in_transaction", note.in_transaction ? "true" : "false"},
                {"waited_ms", Milliseconds(note.waited)}},
               LogLevel::kWarning);
--- a/src/proxy/session_relay.h
+++ b/src/proxy/session_relay.h
@@ -66,19 +66,19 @@
 
   void Tick(common::Instant now);
 
-  bool alive(const std::string& daemon, common::Instant now) const override;
-  bool stays(const std::string& daemon, common::Instant now) const override;
-  bool may_hold(relay::session_number session, const std::string& zone) const override;
+  bool is_reachable(const std::string& daemon, common::Instant now) const override;
+  bool is_available(const std::string& daemon, common::Instant now) const override;
+  bool zone_may_serve(relay::session_number session, const std::string& zone) const override;
   void open_link(relay::session_number session, const std::string& owner) override;
   void close_link(relay::session_number session) override;
-  void serve_here(relay::session_number session, common::Instant now) override;
+  void serve_locally(relay::session_number session, common::Instant now) override;
   void answer(relay::session_number session, model::ErrorCode error,
               const std::string& text) override;
-  void refuse(relay::session_number session, model::ErrorCode error,
-              const std::string& text) override;
-  void end_caller(relay::session_number session) override;
-  void note(const relay::relay_note& note) override;
-  void note_ending(std::size_t sessions, const char* reason) override;
+  void reject_caller(relay::session_number session, model::ErrorCode error,
+                     const std::string& text) override;
+  void close_caller(relay::session_number session) override;
+  void log_session(const relay::relay_log_entry& note) override;
+  void log_ending(std::size_t sessions, const char* reason) override;
 
  private:
   /// A session's first message.
--- a/src/proxy/store_lease.cc
+++ b/src/proxy/store_lease.cc
@@ -11,7 +11,7 @@
 
 bool StoreLease::IsReader() const {
   // Before the others are known, each daemon would read for all.
-  return roles_.known() &&
+  return roles_.computed() &&
          (roles_.coordinators().empty() || roles_.coordinators().front() == settings_.name);
 }
 
--- a/src/relay/handover.cc
+++ b/src/relay/handover.cc
@@ -12,7 +12,7 @@
 
 std::string encode(const handover& value) {
   const nlohmann::json line = {{CONFIGURATION, value.least_configuration},
-                               {TAKES_GOODBYE, value.takes_goodbye}};
+                               {TAKES_GOODBYE, value.supports_end_request}};
   return line.dump() + "\n";
 }
 
--- a/src/relay/handover.h
+++ b/src/relay/handover.h
@@ -20,17 +20,17 @@
   /** Version of the configuration in force where the session comes from. */
   std::uint64_t least_configuration = 0;
   /** The daemon ends the session as it rests when it is sent GOODBYE. */
-  bool takes_goodbye = false;
+  bool supports_end_request = false;
 };
 
 /**
  * Byte with which an owner asks, between two messages, to end a session as it rests: only the
  * daemon that passes commands on knows that none is under way. No message begins with it.
  */
-inline constexpr char GOODBYE = '\x04';
+inline constexpr char END_REQUEST = '\x04';
 
 /** Longest line, its end included. */
-inline constexpr std::size_t LONGEST_HANDOVER = 256;
+inline constexpr std::size_t MAX_HANDOVER_BYTES = 256;
 
 /** @return the line, its end included. */
 std::string encode(const handover& value);
--- a/src/relay/lost_commands.cc
+++ b/src/relay/lost_commands.cc
@@ -37,13 +37,13 @@
   return kind == CommandKind::kWrite || kind == CommandKind::kExecute;
 }
 
-std::vector<ErrorCode> outcomes_of_lost(const std::deque<passed_command>& commands,
-                                        model::TransactionState state, bool wrote) {
+std::vector<ErrorCode> errors_for_lost_commands(const std::deque<forwarded_command>& commands,
+                                                model::TransactionState state, bool wrote) {
   running_transaction transaction{state != model::TransactionState::kIdle,
                                   state == model::TransactionState::kFailed, wrote};
   std::vector<ErrorCode> outcomes;
   std::size_t in_doubt = 0;  // commands up to the last one that may have kept something
-  for (const passed_command& command : commands) {
+  for (const forwarded_command& command : commands) {
     const bool single_read =
         !transaction.open && !transaction.begun && command.kind == CommandKind::kRead;
     // The end of the owner's side of the session rolls back whatever is open.
--- a/src/relay/lost_commands.h
+++ b/src/relay/lost_commands.h
@@ -17,7 +17,7 @@
 namespace valvekeel::relay {
 
 /** A command that was passed on to an owner. */
-struct passed_command {
+struct forwarded_command {
   model::CommandKind kind = model::CommandKind::kInvalid;
   common::Instant sent{0};
 };
@@ -31,7 +31,7 @@
  * @param wrote  whether a write was answered in the transaction that is open
  * @return for each command the error that says what is known of it
  */
-std::vector<model::ErrorCode> outcomes_of_lost(const std::deque<passed_command>& commands,
-                                               model::TransactionState state, bool wrote);
+std::vector<model::ErrorCode> errors_for_lost_commands(
+    const std::deque<forwarded_command>& commands, model::TransactionState state, bool wrote);
 
 }  // namespace valvekeel::relay
--- a/src/relay/relayed_sessions.cc
+++ b/src/relay/relayed_sessions.cc
@@ -27,30 +27,31 @@
 relayed_sessions::relayed_sessions(std::string zone, const role_map& roles, relay_port& port)
     : zone(std::move(zone)), roles(roles), port(port) {}
 
-std::vector<std::string> relayed_sessions::usable(const std::vector<std::string>& owners,
-                                                  const relayed_session& session,
-                                                  common::Instant now) const {
+std::vector<std::string> relayed_sessions::available_owners(const std::vector<std::string>& owners,
+                                                            const relayed_session& session,
+                                                            common::Instant now) const {
   std::vector<std::string> able;
   for (const std::string& owner : owners) {
-    if (!session.tried.contains(owner) && this->port.stays(owner, now)) {
+    if (!session.tried_owners.contains(owner) && this->port.is_available(owner, now)) {
       able.push_back(owner);
     }
   }
   return able;
 }
 
-std::string relayed_sessions::pick(const std::vector<std::string>& owners,
-                                   const relayed_session& session, common::Instant now) const {
-  const std::vector<std::string> able = this->usable(owners, session, now);
+std::string relayed_sessions::pick_owner(const std::vector<std::string>& owners,
+                                         const relayed_session& session,
+                                         common::Instant now) const {
+  const std::vector<std::string> able = this->available_owners(owners, session, now);
   if (able.empty() || session.tenant.empty()) {
-    return this->least_used(able);
+    return this->least_used_owner(able);
   }
   return *std::max_element(able.begin(), able.end(), [&](const auto& a, const auto& b) {
     return common::StableHash(session.tenant, a) < common::StableHash(session.tenant, b);
   });
 }
 
-std::string relayed_sessions::least_used(const std::vector<std::string>& owners) const {
+std::string relayed_sessions::least_used_owner(const std::vector<std::string>& owners) const {
   std::string best;
   std::size_t fewest = 0;
   for (const std::string& owner : owners) {
@@ -64,29 +65,28 @@
   return best;
 }
 
-relayed_sessions::place relayed_sessions::choose(session_number number,
-                                                 const relayed_session& session,
-                                                 common::Instant now) const {
-  const bool may_stay = this->port.may_hold(number, this->zone);
+relayed_sessions::owner_choice relayed_sessions::choose_owner(session_number number,
+                                                              const relayed_session& session,
+                                                              common::Instant now) const {
+  const bool may_stay = this->port.zone_may_serve(number, this->zone);
   if (may_stay) {
     const std::string near =
-        this->pick(this->roles.owners_in(session.service, this->zone), session, now);
+        this->pick_owner(this->roles.owners_in(session.service, this->zone), session, now);
     if (!near.empty()) {
       return {near, this->zone};
     }
   }
-  return this->choose_elsewhere(number, session, !may_stay, now);
+  return this->choose_in_other_zones(number, session, !may_stay, now);
 }
 
-relayed_sessions::place relayed_sessions::choose_elsewhere(session_number number,
-                                                           const relayed_session& session,
-                                                           bool sent_away,
-                                                           common::Instant now) const {
+relayed_sessions::owner_choice relayed_sessions::choose_in_other_zones(
+    session_number number, const relayed_session& session, bool sent_away,
+    common::Instant now) const {
   std::vector<std::string> zones;
   std::vector<std::string> owners;
   std::map<std::string, std::string> zone_of;
   for (const auto& [zone, of_zone] : this->roles.owners_by_zone(session.service)) {
-    if (!this->port.may_hold(number, zone)) {
+    if (!this->port.zone_may_serve(number, zone)) {
       continue;
     }
     zones.push_back(zone);
@@ -96,13 +96,13 @@
     }
   }
   if (!sent_away || session.tenant.empty()) {
-    const std::string owner = this->pick(owners, session, now);
+    const std::string owner = this->pick_owner(owners, session, now);
     return {owner, zone_of[owner]};
   }
   // Whole zones are sent away for good, not only when owners are lost: their tenants are spread.
-  for (const std::string& zone : this->spread(std::move(zones), session.tenant)) {
+  for (const std::string& zone : this->zones_in_tenant_order(std::move(zones), session.tenant)) {
     const std::string owner =
-        this->pick(this->roles.owners_in(session.service, zone), session, now);
+        this->pick_owner(this->roles.owners_in(session.service, zone), session, now);
     if (!owner.empty()) {
       return {owner, zone};
     }
@@ -110,8 +110,8 @@
   return {};
 }
 
-std::vector<std::string> relayed_sessions::spread(std::vector<std::string> zones,
-                                                  const std::string& tenant) const {
+std::vector<std::string> relayed_sessions::zones_in_tenant_order(std::vector<std::string> zones,
+                                                                 const std::string& tenant) const {
   const std::string origin = this->zone + "/" + tenant;
   std::sort(zones.begin(), zones.end(), [&](const std::string& a, const std::string& b) {
     return common::StableHash(origin, a) > common::StableHash(origin, b);
@@ -131,30 +131,30 @@
 
 void relayed_sessions::hand_over(session_number number, relayed_session& session,
                                  common::Instant now) {
-  const place chosen = this->choose(number, session, now);
+  const owner_choice chosen = this->choose_owner(number, session, now);
   const std::string& owner = chosen.owner;
   if (owner.empty()) {
-    ++this->counts.served_here;
-    this->port.note({"session_served_here", number, session.service});
+    ++this->counts.served_locally;
+    this->port.log_session({"session_served_here", number, session.service});
     --this->unaccepted;
     this->sessions.erase(number);
-    this->port.serve_here(number, now);
+    this->port.serve_locally(number, now);
     return;
   }
   session.owner = owner;
   session.owner_zone = chosen.zone;
-  session.sent_away = !this->port.may_hold(number, this->zone);
-  session.returns = false;
-  session.outside_since.reset();
-  session.former_since.reset();
-  session.is_asked_to_end = false;
+  session.excluded_from_own_zone = !this->port.zone_may_serve(number, this->zone);
+  session.may_return = false;
+  session.disallowed_since.reset();
+  session.former_owner_since.reset();
+  session.end_requested = false;
   session.opened = now;
-  session.tried.insert(owner);
+  session.tried_owners.insert(owner);
   ++this->sessions_by_owner[owner];
   this->port.open_link(number, owner);
 }
 
-void relayed_sessions::accepted(session_number session, common::Instant now) {
+void relayed_sessions::on_accepted(session_number session, common::Instant now) {
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end() && !found->second.is_accepted) {
     found->second.is_accepted = true;
@@ -163,83 +163,84 @@
   }
 }
 
-void relayed_sessions::declined(session_number session, common::Instant now) {
+void relayed_sessions::on_rejected(session_number session, common::Instant now) {
   // As after an acceptance, the end of the link ends the session.
-  this->accepted(session, now);
+  this->on_accepted(session, now);
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end()) {
-    found->second.under_way.clear();  // the error was the answer to all
+    found->second.in_flight.clear();  // the error was the answer to all
   }
 }
 
-void relayed_sessions::command_sent(session_number session, model::CommandKind kind,
-                                    common::Instant now) {
+void relayed_sessions::on_command_sent(session_number session, model::CommandKind kind,
+                                       common::Instant now) {
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end()) {
-    found->second.under_way.push_back({kind, now});
+    found->second.in_flight.push_back({kind, now});
     ++found->second.commands;
     found->second.last_command = now;
   }
 }
 
-void relayed_sessions::owner_spoke(session_number session, bool between_messages,
-                                   common::Instant now) {
+void relayed_sessions::on_owner_bytes(session_number session, bool between_messages,
+                                      common::Instant now) {
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end()) {
     found->second.between_messages = between_messages;
-    this->spoke[found->second.owner] = now;
+    this->last_bytes[found->second.owner] = now;
   }
 }
 
-void relayed_sessions::asked_to_end(session_number session) {
+void relayed_sessions::on_end_requested(session_number session) {
   const auto found = this->sessions.find(session);
   if (found == this->sessions.end()) {
     return;
   }
-  found->second.is_asked_to_end = true;
-  if (found->second.is_accepted && found->second.rests()) {
-    this->end_all({session}, "the owner asks for it");
+  found->second.end_requested = true;
+  if (found->second.is_accepted && found->second.is_idle()) {
+    this->end_sessions({session}, "the owner asks for it");
   }
 }
 
-void relayed_sessions::answered(session_number session, model::TransactionState state,
-                                common::Instant now) {
+void relayed_sessions::on_answered(session_number session, model::TransactionState state,
+                                   common::Instant now) {
   const auto found = this->sessions.find(session);
   if (found == this->sessions.end()) {
     return;
   }
   relayed_session& relayed = found->second;
   relayed.state = state;
-  if (!relayed.under_way.empty()) {
-    relayed.wrote = relayed.wrote || may_write(relayed.under_way.front().kind);
-    relayed.under_way.pop_front();
+  if (!relayed.in_flight.empty()) {
+    relayed.wrote = relayed.wrote || may_write(relayed.in_flight.front().kind);
+    relayed.in_flight.pop_front();
   }
   relayed.wrote = relayed.wrote && state != model::TransactionState::kIdle;
-  if (!relayed.under_way.empty()) {
+  if (!relayed.in_flight.empty()) {
     return;  // the next answers may be among the bytes that the caller has already
   }
-  const bool leaving = this->closing || relayed.is_asked_to_end || relayed.is_guest(now) ||
-                       !this->port.stays(relayed.owner, now);
+  const bool leaving = this->closing || relayed.end_requested || relayed.is_on_former_owner(now) ||
+                       !this->port.is_available(relayed.owner, now);
   if (relayed.misplaced() && must_move(relayed, now)) {
     ++this->counts.moved;
-    this->end(session);
-  } else if (leaving && relayed.rests()) {
-    this->end(session);
+    this->end_session(session);
+  } else if (leaving && relayed.is_idle()) {
+    this->end_session(session);
   }
 }
 
-void relayed_sessions::note(const char* event, session_number number,
-                            const relayed_session& session, const std::string& reason,
-                            common::Instant now) {
+void relayed_sessions::log_session(const char* event, session_number number,
+                                   const relayed_session& session, const std::string& reason,
+                                   common::Instant now) {
   const bool in_transaction = session.state != model::TransactionState::kIdle;
   const common::Duration waited =
       session.commands == 0 ? common::Duration(0) : now - session.last_command;
-  this->port.note({event, number, session.service, session.owner, reason, session.is_accepted,
-                   session.under_way.size(), session.can_be_told(), in_transaction, waited});
+  this->port.log_session({event, number, session.service, session.owner, reason,
+                          session.is_accepted, session.in_flight.size(),
+                          session.can_answer_in_flight(), in_transaction, waited});
 }
 
-void relayed_sessions::link_ended(session_number session, const link_end& end,
-                                  common::Instant now) {
+void relayed_sessions::on_link_ended(session_number session, const link_end& end,
+                                     common::Instant now) {
   const auto found = this->sessions.find(session);
   if (found == this->sessions.end()) {
     return;
@@ -248,19 +249,19 @@
   if (!relayed.is_accepted && relayed.commands == 0) {
     --this->sessions_by_owner[relayed.owner];
     ++this->counts.retried;
-    this->note("relay_retried", session, relayed, end.reason, now);
+    this->log_session("relay_retried", session, relayed, end.reason, now);
     this->hand_over(session, relayed, now);
     return;
   }
-  relayed.never_left = !end.was_open;
-  if (!relayed.rests()) {
+  relayed.nothing_sent = !end.was_open;
+  if (!relayed.is_idle()) {
     ++this->counts.lost;
-    this->note("relay_lost", session, relayed, end.reason, now);
+    this->log_session("relay_lost", session, relayed, end.reason, now);
   }
-  this->end(session);
+  this->end_session(session);
 }
 
-void relayed_sessions::forget(session_number number) {
+void relayed_sessions::remove_session(session_number number) {
   const auto found = this->sessions.find(number);
   --this->sessions_by_owner[found->second.owner];
   this->unaccepted -= found->second.is_accepted ? 0 : 1;
@@ -268,153 +269,155 @@
   this->port.close_link(number);
 }
 
-bool relayed_sessions::tell_outcomes(session_number number, const relayed_session& session) {
-  const bool untouched = !session.is_accepted && session.under_way.empty();
+bool relayed_sessions::answer_lost_commands(session_number number, const relayed_session& session) {
+  const bool untouched = !session.is_accepted && session.in_flight.empty();
   if (untouched) {
-    this->port.refuse(number, model::ErrorCode::kBusy, COME_BACK);
+    this->port.reject_caller(number, model::ErrorCode::kBusy, COME_BACK);
     return false;
   }
-  if (!session.can_be_told()) {
+  if (!session.can_answer_in_flight()) {
     return true;
   }
   const std::vector<model::ErrorCode> outcomes =
-      outcomes_of_lost(session.under_way, session.state, session.wrote);
+      errors_for_lost_commands(session.in_flight, session.state, session.wrote);
   if (session.is_accepted) {
     for (const model::ErrorCode outcome : outcomes) {
       this->port.answer(number, outcome, LOST);
     }
     return true;
   }
-  if (session.never_left) {
-    this->port.refuse(number, model::ErrorCode::kBusy, COME_BACK);
+  if (session.nothing_sent) {
+    this->port.reject_caller(number, model::ErrorCode::kBusy, COME_BACK);
   } else {
-    this->port.refuse(number, outcomes.front(), LOST);
+    this->port.reject_caller(number, outcomes.front(), LOST);
   }
   return false;
 }
 
-void relayed_sessions::end(session_number number) {
+void relayed_sessions::end_session(session_number number) {
   const relayed_session ended = this->sessions.at(number);
-  this->forget(number);
-  if (this->tell_outcomes(number, ended)) {
-    this->port.end_caller(number);
+  this->remove_session(number);
+  if (this->answer_lost_commands(number, ended)) {
+    this->port.close_caller(number);
   }
 }
 
-void relayed_sessions::end_all(const std::vector<session_number>& numbers, const char* reason) {
+void relayed_sessions::end_sessions(const std::vector<session_number>& numbers,
+                                    const char* reason) {
   if (!numbers.empty()) {
-    this->port.note_ending(numbers.size(), reason);
+    this->port.log_ending(numbers.size(), reason);
   }
   for (const session_number number : numbers) {
-    this->end(number);
+    this->end_session(number);
   }
 }
 
-void relayed_sessions::caller_closed(session_number session) {
+void relayed_sessions::on_caller_closed(session_number session) {
   if (this->contains(session)) {
-    this->forget(session);
+    this->remove_session(session);
   }
 }
 
-relayed_sessions::owners_seen relayed_sessions::look_at_owners(common::Instant now) const {
-  owners_seen seen;
+relayed_sessions::owner_states relayed_sessions::check_owners(common::Instant now) const {
+  owner_states seen;
   for (const auto& [owner, count] : this->sessions_by_owner) {
     if (count == 0) {
       continue;
     }
-    if (!this->port.alive(owner, now)) {
-      seen.unheard.insert(owner);
-    } else if (!this->port.stays(owner, now)) {
-      seen.leaving.insert(owner);
+    if (!this->port.is_reachable(owner, now)) {
+      seen.unreachable.insert(owner);
+    } else if (!this->port.is_available(owner, now)) {
+      seen.stopping.insert(owner);
     }
   }
-  if (!seen.unheard.empty()) {
-    seen.silent = this->silent_of(seen.unheard, now);
+  if (!seen.unreachable.empty()) {
+    seen.timed_out = this->find_timed_out(seen.unreachable, now);
   }
   return seen;
 }
 
-std::set<std::string> relayed_sessions::silent_of(const std::set<std::string>& unheard,
-                                                  common::Instant now) const {
+std::set<std::string> relayed_sessions::find_timed_out(const std::set<std::string>& unheard,
+                                                       common::Instant now) const {
   // A view loses owners for a moment when the daemon that tells it who lives stops: in days of
   // planned stops owners were given up 4 to 196 ms after a command that they were at work on.
   std::set<std::string> silent;
   for (const auto& [number, session] : this->sessions) {
-    if (session.under_way.empty() || !unheard.contains(session.owner)) {
+    if (session.in_flight.empty() || !unheard.contains(session.owner)) {
       continue;
     }
-    const auto spoken = this->spoke.find(session.owner);
-    const common::Instant sent = session.under_way.front().sent;
+    const auto spoken = this->last_bytes.find(session.owner);
+    const common::Instant sent = session.in_flight.front().sent;
     const common::Instant since =
-        spoken == this->spoke.end() ? sent : std::max(sent, spoken->second);
-    if (now >= since + OWNER_SILENCE) {
+        spoken == this->last_bytes.end() ? sent : std::max(sent, spoken->second);
+    if (now >= since + OWNER_TIMEOUT) {
       silent.insert(session.owner);
     }
   }
   return silent;
 }
 
-const char* relayed_sessions::broken_reason(const relayed_session& session,
-                                            const owners_seen& owners, common::Instant now) {
+const char* relayed_sessions::link_failure_reason(const relayed_session& session,
+                                                  const owner_states& owners, common::Instant now) {
   if (!session.is_accepted && now >= session.opened + ACCEPT_LIMIT) {
     return "not accepted in time";
   }
   const bool untouched = !session.is_accepted && session.commands == 0;
-  const bool given_up = owners.silent.contains(session.owner) ||
-                        (untouched && owners.unheard.contains(session.owner));
+  const bool given_up = owners.timed_out.contains(session.owner) ||
+                        (untouched && owners.unreachable.contains(session.owner));
   return given_up ? NOT_HEARD : nullptr;
 }
 
-const char* relayed_sessions::leaving_reason(const relayed_session& session,
-                                             const owners_seen& owners, common::Instant now) {
-  if (!session.is_accepted || !session.rests() || session.awaits_first(now)) {
+const char* relayed_sessions::idle_end_reason(const relayed_session& session,
+                                              const owner_states& owners, common::Instant now) {
+  if (!session.is_accepted || !session.is_idle() || session.awaits_first_command(now)) {
     return nullptr;
   }
-  if (owners.leaving.contains(session.owner)) {
+  if (owners.stopping.contains(session.owner)) {
     return "the owner stops";
   }
-  if (owners.unheard.contains(session.owner)) {
+  if (owners.unreachable.contains(session.owner)) {
     return NOT_HEARD;
   }
-  return session.is_guest(now) ? "owned by other daemons" : nullptr;
+  return session.is_on_former_owner(now) ? "owned by other daemons" : nullptr;
 }
 
-void relayed_sessions::look_for_former_owners(common::Instant now) {
-  if (now < this->look_for_former_at) {
+void relayed_sessions::update_former_owners(common::Instant now) {
+  if (now < this->next_former_check) {
     return;
   }
-  this->look_for_former_at = now + FORMER_INTERVAL;
-  this->any_former = false;
+  this->next_former_check = now + FORMER_INTERVAL;
+  this->any_on_former_owner = false;
   for (auto& [number, session] : this->sessions) {
     if (this->roles.owns(session.service, session.owner)) {
-      session.former_since.reset();
+      session.former_owner_since.reset();
       continue;
     }
-    session.former_since = session.former_since.value_or(now);
-    this->any_former = true;
+    session.former_owner_since = session.former_owner_since.value_or(now);
+    this->any_on_former_owner = true;
   }
 }
 
 bool relayed_sessions::must_move(const relayed_session& session, common::Instant now) {
-  if (session.rests() && !session.awaits_first(now)) {
+  if (session.is_idle() && !session.awaits_first_command(now)) {
     return true;
   }
-  if (!session.outside_since) {
+  if (!session.disallowed_since) {
     return false;
   }
-  const bool waits = session.under_way.empty();
-  return now >= *session.outside_since + (waits ? MOVE_LIMIT : MOVE_DEADLINE);
+  const bool waits = session.in_flight.empty();
+  return now >= *session.disallowed_since + (waits ? MOVE_LIMIT : MOVE_DEADLINE);
 }
 
-std::size_t relayed_sessions::regions_changed(common::Instant now) {
+std::size_t relayed_sessions::on_regions_changed(common::Instant now) {
   std::size_t moving = 0;
   for (auto& [number, session] : this->sessions) {
-    const bool outside = !this->port.may_hold(number, session.owner_zone);
-    session.returns = session.sent_away && this->port.may_hold(number, this->zone);
+    const bool outside = !this->port.zone_may_serve(number, session.owner_zone);
+    session.may_return =
+        session.excluded_from_own_zone && this->port.zone_may_serve(number, this->zone);
     if (!outside) {
-      session.outside_since.reset();
-    } else if (!session.outside_since) {
-      session.outside_since = now;
+      session.disallowed_since.reset();
+    } else if (!session.disallowed_since) {
+      session.disallowed_since = now;
     }
     moving += session.misplaced() ? 1 : 0;
   }
@@ -444,34 +447,34 @@
   }
   for (const session_number number : early) {
     this->port.close_link(number);
-    this->link_ended(number, {"its owner may not hold it"}, now);
+    this->on_link_ended(number, {"its owner may not hold it"}, now);
   }
   this->counts.moved += ending.size();
-  this->end_all(ending, "their owners' region");
+  this->end_sessions(ending, "their owners' region");
 }
 
 void relayed_sessions::tick(common::Instant now) {
   this->end_misplaced(now);
-  this->look_for_former_owners(now);
-  const owners_seen owners = this->look_at_owners(now);
-  if (this->unaccepted == 0 && owners.all_stay() && !this->any_former) {
+  this->update_former_owners(now);
+  const owner_states owners = this->check_owners(now);
+  if (this->unaccepted == 0 && owners.all_available() && !this->any_on_former_owner) {
     return;
   }
   std::vector<std::pair<session_number, const char*>> broken;
   std::map<std::string, std::vector<session_number>> leaving;
   for (const auto& [number, session] : this->sessions) {
-    if (const char* why = broken_reason(session, owners, now)) {
+    if (const char* why = link_failure_reason(session, owners, now)) {
       broken.emplace_back(number, why);
-    } else if (const char* leaves = leaving_reason(session, owners, now)) {
+    } else if (const char* leaves = idle_end_reason(session, owners, now)) {
       leaving[leaves].push_back(number);
     }
   }
   for (const auto& [number, reason] : broken) {
     this->port.close_link(number);
-    this->link_ended(number, {reason}, now);
+    this->on_link_ended(number, {reason}, now);
   }
   for (const auto& [reason, numbers] : leaving) {
-    this->end_all(numbers, reason.c_str());
+    this->end_sessions(numbers, reason.c_str());
   }
 }
 
@@ -481,21 +484,21 @@
   for (const auto& [number, session] : this->sessions) {
     // Ended by the next tick, within 10 ms, a session that was just accepted loses its first
     // command.
-    if (session.is_accepted && session.rests() && !session.awaits_first(now)) {
+    if (session.is_accepted && session.is_idle() && !session.awaits_first_command(now)) {
       resting.push_back(number);
     }
   }
-  this->end_all(resting, STOPPING);
+  this->end_sessions(resting, STOPPING);
 }
 
 void relayed_sessions::close_idle(common::Instant now) {
   std::vector<session_number> idle;
   for (const auto& [number, session] : this->sessions) {
-    if (session.under_way.empty() && !session.awaits_first(now)) {
+    if (session.in_flight.empty() && !session.awaits_first_command(now)) {
       idle.push_back(number);
     }
   }
-  this->end_all(idle, STOPPING);
+  this->end_sessions(idle, STOPPING);
 }
 
 void relayed_sessions::close_all() {
@@ -503,7 +506,7 @@
   for (const auto& [number, session] : this->sessions) {
     all.push_back(number);
   }
-  this->end_all(all, STOPPING);
+  this->end_sessions(all, STOPPING);
 }
 
 }  // namespace valvekeel::relay
--- a/src/relay/relayed_sessions.h
+++ b/src/relay/relayed_sessions.h
@@ -43,20 +43,20 @@
  * Silence after which an owner counts as lost: callers wait for it, their time is short. Hubs tell
  * of a daemon that they have not heard for this time that it is lost.
  */
-inline constexpr common::Duration OWNER_SILENCE{650'000};
+inline constexpr common::Duration OWNER_TIMEOUT{650'000};
 
 /**
  * Time after which sessions with a daemon that does not own their service end as they rest: their
  * callers come back, and are handed to an owner.
  */
-inline constexpr common::Duration GUEST_TIME{1'000'000};
+inline constexpr common::Duration FORMER_OWNER_GRACE{1'000'000};
 
 /**
  * Time for a caller's first command to come after its session was accepted: four round trips
  * between regions of the users' sites, which are 12 ms apart one way. An owner in another region
  * gets it after two.
  */
-inline constexpr common::Duration FIRST_COMMAND_TIME{100'000};
+inline constexpr common::Duration FIRST_COMMAND_GRACE{100'000};
 
 /** How a link to an owner ended. */
 struct link_end {
@@ -65,7 +65,7 @@
 };
 
 /** What became of a relayed session, for the log. */
-struct relay_note {
+struct relay_log_entry {
   const char* event = "";
   session_number session = 0;
   std::string service;
@@ -73,7 +73,7 @@
   std::string reason;          // why its link ended
   bool is_accepted = false;    // by the owner
   std::size_t unanswered = 0;  // commands that were passed on
-  bool is_told = false;        // the caller gets an answer to each of these
+  bool is_answered = false;    // the caller gets an answer to each of these
   bool in_transaction = false;
   common::Duration waited{0};  // since the last command was passed on
 };
@@ -84,13 +84,13 @@
   virtual ~relay_port() = default;
 
   /** @return true if the daemon is heard. */
-  virtual bool alive(const std::string& daemon, common::Instant now) const = 0;
+  virtual bool is_reachable(const std::string& daemon, common::Instant now) const = 0;
 
   /** @return true if the daemon is heard, and is not about to stop. */
-  virtual bool stays(const std::string& daemon, common::Instant now) const = 0;
+  virtual bool is_available(const std::string& daemon, common::Instant now) const = 0;
 
   /** @return true if daemons of the zone may get the session's requests. */
-  virtual bool may_hold(session_number session, const std::string& zone) const = 0;
+  virtual bool zone_may_serve(session_number session, const std::string& zone) const = 0;
 
   /** Opens a link to an owner and passes on what the caller has sent so far. */
   virtual void open_link(session_number session, const std::string& owner) = 0;
@@ -99,31 +99,32 @@
   virtual void close_link(session_number session) = 0;
 
   /** Serves the session here: no owner can be had. */
-  virtual void serve_here(session_number session, common::Instant now) = 0;
+  virtual void serve_locally(session_number session, common::Instant now) = 0;
 
   /** Answers the caller's oldest command under way with an error. */
   virtual void answer(session_number session, model::ErrorCode error, const std::string& text) = 0;
 
   /** Ends the connection of a caller that was not accepted yet, with an error. */
-  virtual void refuse(session_number session, model::ErrorCode error, const std::string& text) = 0;
+  virtual void reject_caller(session_number session, model::ErrorCode error,
+                             const std::string& text) = 0;
 
   /** Ends the caller's connection. */
-  virtual void end_caller(session_number session) = 0;
+  virtual void close_caller(session_number session) = 0;
 
   /** Tells the log what became of a session. */
-  virtual void note(const relay_note& note) = 0;
+  virtual void log_session(const relay_log_entry& note) = 0;
 
   /** Tells the log of sessions that are about to be ended while no answer is awaited. */
-  virtual void note_ending(std::size_t sessions, const char* reason) = 0;
+  virtual void log_ending(std::size_t sessions, const char* reason) = 0;
 };
 
 /** Counters for metrics. */
 struct relay_counters {
   std::uint64_t started = 0;
-  std::uint64_t retried = 0;      // handed to another owner before they were accepted
-  std::uint64_t served_here = 0;  // for want of an owner
-  std::uint64_t lost = 0;         // ended because the owner did
-  std::uint64_t moved = 0;        // ended because they belong to an owner of another region now
+  std::uint64_t retried = 0;         // handed to another owner before they were accepted
+  std::uint64_t served_locally = 0;  // for want of an owner
+  std::uint64_t lost = 0;            // ended because the owner did
+  std::uint64_t moved = 0;           // ended because they belong to an owner of another region now
 };
 
 class relayed_sessions {
@@ -140,31 +141,31 @@
              common::Instant now);
 
   /** The owner has accepted the session. */
-  void accepted(session_number session, common::Instant now);
+  void on_accepted(session_number session, common::Instant now);
 
   /** The owner has turned the caller away, which was told so: no other owner is tried. */
-  void declined(session_number session, common::Instant now);
+  void on_rejected(session_number session, common::Instant now);
 
   /** A command of the caller was passed on. */
-  void command_sent(session_number session, model::CommandKind kind, common::Instant now);
+  void on_command_sent(session_number session, model::CommandKind kind, common::Instant now);
 
   /**
    * Bytes of the owner were passed back.
    *
    * @param between_messages  what the caller has now ends with a whole message
    */
-  void owner_spoke(session_number session, bool between_messages, common::Instant now);
+  void on_owner_bytes(session_number session, bool between_messages, common::Instant now);
 
   /** The owner asks to end the session as it rests. */
-  void asked_to_end(session_number session);
+  void on_end_requested(session_number session);
 
   /** An answer was passed back. */
-  void answered(session_number session, model::TransactionState state, common::Instant now);
+  void on_answered(session_number session, model::TransactionState state, common::Instant now);
 
   /** The link ended, or could not be opened. */
-  void link_ended(session_number session, const link_end& end, common::Instant now);
+  void on_link_ended(session_number session, const link_end& end, common::Instant now);
 
-  void caller_closed(session_number session);
+  void on_caller_closed(session_number session);
 
   /**
    * The regions where work may run have changed. A session whose owner may no longer hold it is
@@ -173,7 +174,7 @@
    *
    * @return the number of sessions that have to move
    */
-  std::size_t regions_changed(common::Instant now);
+  std::size_t on_regions_changed(common::Instant now);
 
   void tick(common::Instant now);
 
@@ -196,88 +197,92 @@
     std::string tenant;
     std::string owner;
     std::string owner_zone;
-    bool sent_away = false;                        // this daemon's zone may not hold it
-    bool returns = false;                          // sent away, and needs not be any more
-    std::optional<common::Instant> outside_since;  // the owner's zone may not hold it
-    std::optional<common::Instant> former_since;   // the owner has ceased to own the service
+    bool excluded_from_own_zone = false;                // this daemon's zone may not hold it
+    bool may_return = false;                            // sent away, and needs not be any more
+    std::optional<common::Instant> disallowed_since;    // the owner's zone may not hold it
+    std::optional<common::Instant> former_owner_since;  // the owner has ceased to own the service
     common::Instant opened{0};
     bool is_accepted = false;
     common::Instant accepted_at{0};
-    bool is_asked_to_end = false;          // by its owner
-    std::deque<passed_command> under_way;  // not answered yet, the oldest first
-    bool between_messages = true;          // the owner's bytes so far end with a whole message
+    bool end_requested = false;               // by its owner
+    std::deque<forwarded_command> in_flight;  // not answered yet, the oldest first
+    bool between_messages = true;             // the owner's bytes so far end with a whole message
     std::uint64_t commands = 0;
     common::Instant last_command{0};
     model::TransactionState state = model::TransactionState::kIdle;
-    bool wrote = false;       // a write was answered in the open transaction
-    bool never_left = false;  // no byte of the caller has reached its owner
-    std::set<std::string> tried;
+    bool wrote = false;         // a write was answered in the open transaction
+    bool nothing_sent = false;  // no byte of the caller has reached its owner
+    std::set<std::string> tried_owners;
 
-    bool misplaced() const { return this->returns || this->outside_since.has_value(); }
-    bool is_guest(common::Instant now) const {
-      return this->former_since && now >= *this->former_since + GUEST_TIME;
+    bool misplaced() const { return this->may_return || this->disallowed_since.has_value(); }
+    bool is_on_former_owner(common::Instant now) const {
+      return this->former_owner_since && now >= *this->former_owner_since + FORMER_OWNER_GRACE;
     }
     /** @return true if the caller can be answered what is under way. */
-    bool can_be_told() const { return !this->under_way.empty() && this->between_messages; }
+    bool can_answer_in_flight() const { return !this->in_flight.empty() && this->between_messages; }
     /** @return true if the caller was just told that it may begin. */
-    bool awaits_first(common::Instant now) const {
-      return this->commands == 0 && now < this->accepted_at + FIRST_COMMAND_TIME;
+    bool awaits_first_command(common::Instant now) const {
+      return this->commands == 0 && now < this->accepted_at + FIRST_COMMAND_GRACE;
     }
-    bool rests() const {
-      return this->under_way.empty() && this->state == model::TransactionState::kIdle;
+    bool is_idle() const {
+      return this->in_flight.empty() && this->state == model::TransactionState::kIdle;
     }
   };
 
   /** An owner and its zone; both empty if there is none. */
-  struct place {
+  struct owner_choice {
     std::string owner;
     std::string zone;
   };
 
-  place choose(session_number number, const relayed_session& session, common::Instant now) const;
+  owner_choice choose_owner(session_number number, const relayed_session& session,
+                            common::Instant now) const;
   /** @return an owner of another zone that may hold the session. */
-  place choose_elsewhere(session_number number, const relayed_session& session, bool sent_away,
-                         common::Instant now) const;
+  owner_choice choose_in_other_zones(session_number number, const relayed_session& session,
+                                     bool sent_away, common::Instant now) const;
   /** @return the zones in the order in which sessions of the tenant try them from here. */
-  std::vector<std::string> spread(std::vector<std::string> zones, const std::string& tenant) const;
+  std::vector<std::string> zones_in_tenant_order(std::vector<std::string> zones,
+                                                 const std::string& tenant) const;
   /** @return true if an accepted session ends now because it belongs elsewhere. */
   static bool must_move(const relayed_session& session, common::Instant now);
   /** @return the owners that can take the session. */
-  std::vector<std::string> usable(const std::vector<std::string>& owners,
-                                  const relayed_session& session, common::Instant now) const;
-  std::string pick(const std::vector<std::string>& owners, const relayed_session& session,
-                   common::Instant now) const;
-  std::string least_used(const std::vector<std::string>& owners) const;
+  std::vector<std::string> available_owners(const std::vector<std::string>& owners,
+                                            const relayed_session& session,
+                                            common::Instant now) const;
+  std::string pick_owner(const std::vector<std::string>& owners, const relayed_session& session,
+                         common::Instant now) const;
+  std::string least_used_owner(const std::vector<std::string>& owners) const;
   void hand_over(session_number number, relayed_session& session, common::Instant now);
   /** Tells the log what became of a session whose link ended. */
-  void note(const char* event, session_number number, const relayed_session& session,
-            const std::string& reason, common::Instant now);
-  void forget(session_number number);
+  void log_session(const char* event, session_number number, const relayed_session& session,
+                   const std::string& reason, common::Instant now);
+  void remove_session(session_number number);
   /** Says of the commands under way what is known of them. @return false if the caller's connection
    *  has ended with that. */
-  bool tell_outcomes(session_number number, const relayed_session& session);
-  void end(session_number number);
+  bool answer_lost_commands(session_number number, const relayed_session& session);
+  void end_session(session_number number);
   /** Owners of sessions that are no longer just served by. */
-  struct owners_seen {
-    std::set<std::string> leaving;  // about to stop
-    std::set<std::string> unheard;  // not in view; they may be alive
-    std::set<std::string> silent;   // of these, those that leave a command without a byte
+  struct owner_states {
+    std::set<std::string> stopping;     // about to stop
+    std::set<std::string> unreachable;  // not in view; they may be alive
+    std::set<std::string> timed_out;    // of these, those that leave a command without a byte
 
-    bool all_stay() const { return this->leaving.empty() && this->unheard.empty(); }
+    bool all_available() const { return this->stopping.empty() && this->unreachable.empty(); }
   };
 
-  owners_seen look_at_owners(common::Instant now) const;
+  owner_states check_owners(common::Instant now) const;
   /** @return those unheard that have been silent for too long while a command waits. */
-  std::set<std::string> silent_of(const std::set<std::string>& unheard, common::Instant now) const;
+  std::set<std::string> find_timed_out(const std::set<std::string>& unheard,
+                                       common::Instant now) const;
   /** @return why the session's link is given up, nullptr if it is not. */
-  static const char* broken_reason(const relayed_session& session, const owners_seen& owners,
-                                   common::Instant now);
+  static const char* link_failure_reason(const relayed_session& session, const owner_states& owners,
+                                         common::Instant now);
   /** @return why the session ends if it rests, nullptr if it does not. */
-  static const char* leaving_reason(const relayed_session& session, const owners_seen& owners,
-                                    common::Instant now);
+  static const char* idle_end_reason(const relayed_session& session, const owner_states& owners,
+                                     common::Instant now);
   /** Notes now and then whose owners have ceased to own their service. */
-  void look_for_former_owners(common::Instant now);
-  void end_all(const std::vector<session_number>& numbers, const char* reason);
+  void update_former_owners(common::Instant now);
+  void end_sessions(const std::vector<session_number>& numbers, const char* reason);
   void end_misplaced(common::Instant now);
 
   std::string zone;
@@ -285,10 +290,10 @@
   relay_port& port;
   std::map<session_number, relayed_session> sessions;
   std::map<std::string, std::size_t> sessions_by_owner;
-  std::map<std::string, common::Instant> spoke;  // when bytes of an owner came last, by owner
-  std::size_t unaccepted = 0;                    // sessions that no owner has accepted yet
-  bool any_former = false;                       // some session's owner has ceased to be one
-  common::Instant look_for_former_at{0};
+  std::map<std::string, common::Instant> last_bytes;  // when bytes of an owner came last, by owner
+  std::size_t unaccepted = 0;                         // sessions that no owner has accepted yet
+  bool any_on_former_owner = false;                   // some session's owner has ceased to be one
+  common::Instant next_former_check{0};
   bool any_misplaced = false;  // some session belongs to another owner's region
   relay_counters counts;
   bool closing = false;
--- a/src/relay/role_map.cc
+++ b/src/relay/role_map.cc
@@ -100,7 +100,7 @@
   this->pools.clear();
   this->pool_names.clear();
   this->owner_count = 0;
-  this->self_next = false;
+  this->self_pool_candidate = false;
   for (const member& each : this->live) {
     this->pools[each.zone].push_back(each);
   }
@@ -109,9 +109,10 @@
     members = largest(OWNER_POOL, std::move(members), all);
     const std::size_t size = this->pool_size(members);
     members.resize(std::min(all, size + this->policy.pool_reserve));
-    this->self_next =
-        this->self_next || std::any_of(members.begin(), members.end(),
-                                       [&](const member& each) { return each.name == this->self; });
+    this->self_pool_candidate =
+        this->self_pool_candidate ||
+        std::any_of(members.begin(), members.end(),
+                    [&](const member& each) { return each.name == this->self; });
     members.resize(std::min(all, size));
     for (const member& each : members) {
       this->pool_names.insert(each.name);
@@ -123,7 +124,7 @@
 bool role_map::becomes_direct(const std::string& service, std::size_t share) const {
   const service_roles* before = this->find(service);
   const bool owned = !this->is_meshed && (before == nullptr || !before->is_direct);
-  if (owned && (!this->may_be_direct || this->sharing > this->policy.most_direct_daemons)) {
+  if (owned && (!this->may_be_direct || this->sharing_daemons > this->policy.most_direct_daemons)) {
     return false;
   }
   return share >=
@@ -135,15 +136,16 @@
   service_roles roles;
   const std::uint32_t reserved = this->policy.reserved_connections;
   const std::size_t shared = most_connections > reserved ? most_connections - reserved : 1;
-  roles.direct_connections = std::max<std::size_t>(1, shared / this->sharing);
-  roles.is_direct = this->sharing <= 1 || this->becomes_direct(service, shared / this->sharing);
+  roles.direct_connections = std::max<std::size_t>(1, shared / this->sharing_daemons);
+  roles.is_direct =
+      this->sharing_daemons <= 1 || this->becomes_direct(service, shared / this->sharing_daemons);
   // One share is left to guests and to owners that have just ceased to be.
   roles.owner_connections = std::max<std::size_t>(1, shared / (this->owner_count + 1));
   return roles;
 }
 
 const role_map::service_owners& role_map::owners_of(const std::string& service) const {
-  const auto [found, added] = this->known_owners.try_emplace(service);
+  const auto [found, added] = this->owners_cache.try_emplace(service);
   service_owners& owners = found->second;
   if (!added || this->find(service) == nullptr || this->find(service)->is_direct) {
     return owners;
@@ -159,7 +161,7 @@
 }
 
 bool role_map::owns_any(const std::string& daemon) const {
-  const auto [found, added] = this->known_to_own.try_emplace(daemon, false);
+  const auto [found, added] = this->owns_any_cache.try_emplace(daemon, false);
   if (added) {
     // Each service has some of a small pool: the first few show it.
     found->second = std::any_of(
@@ -170,30 +172,31 @@
 }
 
 const std::unordered_set<std::string>& role_map::watchers() const {
-  if (this->is_known && this->watcher_names.empty()) {
-    this->watcher_names.insert(this->coordinator_names.begin(), this->coordinator_names.end());
+  if (this->is_computed && this->watchers_cache.empty()) {
+    this->watchers_cache.insert(this->coordinator_names.begin(), this->coordinator_names.end());
     for (const auto& [service, roles] : this->services) {
       const service_owners& owners = this->owners_of(service);
-      this->watcher_names.insert(owners.all.begin(), owners.all.end());
+      this->watchers_cache.insert(owners.all.begin(), owners.all.end());
     }
   }
-  return this->watcher_names;
+  return this->watchers_cache;
 }
 
 bool role_map::update(std::vector<member> live, std::size_t sharing,
                       const std::map<std::string, std::uint32_t>& connections, bool may_be_direct) {
   sharing = std::max<std::size_t>(1, sharing);
-  const bool same = this->is_known && this->sharing == sharing && this->limits == connections &&
-                    this->live == live && this->may_be_direct == may_be_direct;
+  const bool same = this->is_computed && this->sharing_daemons == sharing &&
+                    this->instance_connections == connections && this->live == live &&
+                    this->may_be_direct == may_be_direct;
   if (same) {
     return false;
   }
-  this->is_known = true;
+  this->is_computed = true;
   this->live = std::move(live);
-  this->sharing = sharing;
-  this->limits = connections;
+  this->sharing_daemons = sharing;
+  this->instance_connections = connections;
   this->may_be_direct = may_be_direct;
-  this->is_meshed = this->sharing <= this->policy.most_meshed_daemons;
+  this->is_meshed = this->sharing_daemons <= this->policy.most_meshed_daemons;
   this->choose_coordinators();
   this->choose_pools();
   std::unordered_map<std::string, service_roles> next;
@@ -201,9 +204,9 @@
     next[service] = this->roles_of(service, most_connections);
   }
   this->services = std::move(next);
-  this->known_owners.clear();
-  this->known_to_own.clear();
-  this->watcher_names.clear();
+  this->owners_cache.clear();
+  this->owns_any_cache.clear();
+  this->watchers_cache.clear();
   this->any_direct = this->services.empty();
   for (const auto& [service, roles] : this->services) {
     this->any_direct = this->any_direct || roles.is_direct;
@@ -224,7 +227,7 @@
              this->coordinator_names.end();
 }
 
-bool role_map::direct(const std::string& service) const {
+bool role_map::is_direct(const std::string& service) const {
   const service_roles* roles = this->find(service);
   return roles == nullptr || roles->is_direct;
 }
@@ -267,7 +270,7 @@
   return this->find(service) == nullptr ? NOBODY : this->owners_of(service).all;
 }
 
-std::size_t role_map::connections(const std::string& service, bool serves_guests) const {
+std::size_t role_map::connection_limit(const std::string& service, bool serves_guests) const {
   const service_roles* roles = this->find(service);
   if (roles == nullptr) {
     return GUEST_CONNECTIONS;
--- a/src/relay/role_map.h
+++ b/src/relay/role_map.h
@@ -79,7 +79,7 @@
               const std::map<std::string, std::uint32_t>& connections, bool may_be_direct = true);
 
   /** @return true once the roles were worked out. */
-  bool known() const { return this->is_known; }
+  bool computed() const { return this->is_computed; }
 
   /** @return true if all daemons do everything. */
   bool meshed() const { return this->is_meshed; }
@@ -91,7 +91,7 @@
   const std::vector<std::string>& coordinators() const { return this->coordinator_names; }
 
   /** @return true if every daemon connects to the service's instances by itself. */
-  bool direct(const std::string& service) const;
+  bool is_direct(const std::string& service) const;
 
   bool owns(const std::string& service, const std::string& daemon) const;
   bool owns(const std::string& service) const;
@@ -115,13 +115,13 @@
   bool watches_any() const { return this->self_watches; }
 
   /** @return of how many services the owners were worked out since the last change. */
-  std::size_t worked_out() const { return this->known_owners.size(); }
+  std::size_t computed_services() const { return this->owners_cache.size(); }
 
   /** @return true if this daemon is among the first to coordinate if the coordinators can't. */
   bool is_deputy() const { return this->self_deputy; }
 
   /** @return true if this daemon is in a pool of owners, or among the next to join one. */
-  bool next_to_own() const { return this->self_next; }
+  bool is_pool_candidate() const { return this->self_pool_candidate; }
 
   /** @return all daemons that own some service or coordinate; empty while all do everything. Works
    * out the owners of all services. */
@@ -131,7 +131,7 @@
    * @param serves_guests  sessions of the service run here although this daemon doesn't own it
    * @return how many connections to an instance of the service this daemon may hold
    */
-  std::size_t connections(const std::string& service, bool serves_guests) const;
+  std::size_t connection_limit(const std::string& service, bool serves_guests) const;
 
  private:
   /** Roles around one service; no owners if it is direct. */
@@ -167,13 +167,13 @@
   std::string self;
   role_policy policy;
   std::vector<member> live;
-  std::size_t sharing = 1;
-  std::map<std::string, std::uint32_t> limits;
-  bool is_known = false;
+  std::size_t sharing_daemons = 1;
+  std::map<std::string, std::uint32_t> instance_connections;
+  bool is_computed = false;
   bool is_meshed = true;
   bool self_coordinates = true;
   bool self_watches = true;
-  bool self_next = true;
+  bool self_pool_candidate = true;
   bool self_deputy = true;
   bool may_be_direct = true;
   bool any_direct = true;
@@ -183,9 +183,9 @@
   std::size_t owner_count = 0;  // of each service that is not direct
   std::unordered_map<std::string, service_roles> services;
   // Worked out when asked for; empty after an update.
-  mutable std::unordered_map<std::string, service_owners> known_owners;
-  mutable std::unordered_map<std::string, bool> known_to_own;
-  mutable std::unordered_set<std::string> watcher_names;
+  mutable std::unordered_map<std::string, service_owners> owners_cache;
+  mutable std::unordered_map<std::string, bool> owns_any_cache;
+  mutable std::unordered_set<std::string> watchers_cache;
 };
 
 }  // namespace valvekeel::relay
--- a/src/relay_link/owner_link.cc
+++ b/src/relay_link/owner_link.cc
@@ -22,22 +22,22 @@
   bool connected = false;
   bool closed = false;
 
-  void take(std::string_view bytes) {
+  void process_bytes(std::string_view bytes) {
     const auto self = this->shared_from_this();
     std::size_t from = 0;
-    for (std::size_t at = bytes.find(relay::GOODBYE); at != std::string_view::npos;
-         at = bytes.find(relay::GOODBYE, at + 1)) {
-      this->take_messages(bytes.substr(from, at - from));
+    for (std::size_t at = bytes.find(relay::END_REQUEST); at != std::string_view::npos;
+         at = bytes.find(relay::END_REQUEST, at + 1)) {
+      this->process_messages(bytes.substr(from, at - from));
       from = at;
       if (!this->closed && this->codec->BetweenMessages()) {
-        this->events->on_goodbye();
+        this->events->on_end_request();
         ++from;
       }
     }
-    this->take_messages(bytes.substr(from));
+    this->process_messages(bytes.substr(from));
   }
 
-  void take_messages(std::string_view bytes) {
+  void process_messages(std::string_view bytes) {
     if (this->closed || bytes.empty()) {
       return;
     }
@@ -50,7 +50,7 @@
         this->events->on_accepted();
       } else if (std::holds_alternative<host::InstanceRejected>(message)) {
         // The error goes to the caller as it is; the owner closes then.
-        this->events->on_declined();
+        this->events->on_rejected();
       } else if (const auto* reply = std::get_if<model::Reply>(&message)) {
         this->events->on_answer(*reply);
       } else if (std::holds_alternative<host::InstanceFault>(message)) {
@@ -95,7 +95,7 @@
           return;
         }
         kept->connected = true;
-        kept->stream->Start([kept](std::string_view bytes) { kept->take(bytes); },
+        kept->stream->Start([kept](std::string_view bytes) { kept->process_bytes(bytes); },
                             [kept] { kept->end(kept->stream->EndReason()); });
         kept->stream->Send(std::exchange(kept->unsent, {}));
       },
--- a/src/relay_link/owner_link.h
+++ b/src/relay_link/owner_link.h
@@ -29,11 +29,11 @@
   virtual void on_accepted() = 0;
 
   /** The owner turned the caller away; its error is among the bytes. */
-  virtual void on_declined() = 0;
+  virtual void on_rejected() = 0;
   virtual void on_answer(const model::Reply& reply) = 0;
 
   /** The owner asks to end the session as it rests. */
-  virtual void on_goodbye() = 0;
+  virtual void on_end_request() = 0;
 
   /** Bytes for the caller; they come before the events that they stand for. */
   virtual void on_bytes(std::string_view bytes) = 0;
--- a/tests/proxy/session_relay_test.cc
+++ b/tests/proxy/session_relay_test.cc
@@ -104,10 +104,10 @@
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {}, kStart);
-  fixture.relay->Sessions().accepted(kSession, kStart);
-  fixture.relay->Sessions().command_sent(kSession, model::CommandKind::kWrite, kStart);
+  fixture.relay->Sessions().on_accepted(kSession, kStart);
+  fixture.relay->Sessions().on_command_sent(kSession, model::CommandKind::kWrite, kStart);
   static_cast<void>(fixture.outbox.Take());
-  fixture.relay->Sessions().link_ended(kSession, {"closed by the other side"}, kStart);
+  fixture.relay->Sessions().on_link_ended(kSession, {"closed by the other side"}, kStart);
   std::vector<const Action*> sent;
   const std::vector<Action> actions = fixture.outbox.Take();
   for (const Action& action : actions) {
@@ -193,7 +193,7 @@
   fixture.relay->SessionStarted(kSession + 1, "ledger", kKey, {true, {"e", 0}, 5}, kStart);
   REQUIRE(fixture.dispatcher.SessionCount() == 2);
   static_cast<void>(fixture.outbox.Take());
-  const Instant later = kStart + relay::FIRST_COMMAND_TIME;
+  const Instant later = kStart + relay::FIRST_COMMAND_GRACE;
   fixture.dispatcher.EndResting("group", false, later);
   const auto closed = fixture.Taken<CloseSession>();
   REQUIRE(closed);
@@ -255,7 +255,7 @@
   const model::Configuration configuration = ConfigurationOf(5);
   fixture.Configure(configuration);
   fixture.relay->SessionStarted(kSession, "ledger", kKey, {true, {"e", 0}, 5, true}, kStart);
-  const Instant later = kStart + relay::FIRST_COMMAND_TIME;
+  const Instant later = kStart + relay::FIRST_COMMAND_GRACE;
   fixture.dispatcher.EndResting("group", false, later);
   CHECK(fixture.Taken<AskToEnd>());
   fixture.dispatcher.EndResting("group", false, later + 2 * kLong - Duration(1));
--- a/tests/relay/handover_test.cc
+++ b/tests/relay/handover_test.cc
@@ -7,18 +7,18 @@
 TEST_CASE("A handover is read as it was written", "[relay]") {
   const std::string line = encode({12345, true});
   REQUIRE(line.back() == '\n');
-  CHECK(line.size() <= LONGEST_HANDOVER);
+  CHECK(line.size() <= MAX_HANDOVER_BYTES);
   const auto read = decode(std::string_view(line).substr(0, line.size() - 1));
   REQUIRE(read);
   CHECK(read->least_configuration == 12345);
-  CHECK(read->takes_goodbye);
+  CHECK(read->supports_end_request);
 }
 
 TEST_CASE("A handover of an earlier version says that no goodbye is taken", "[relay]") {
   const auto read = decode("{\"configuration\":7}");
   REQUIRE(read);
   CHECK(read->least_configuration == 7);
-  CHECK_FALSE(read->takes_goodbye);
+  CHECK_FALSE(read->supports_end_request);
 }
 
 TEST_CASE("What is no handover is not read", "[relay]") {
--- a/tests/relay/relayed_sessions_test.cc
+++ b/tests/relay/relayed_sessions_test.cc
@@ -21,31 +21,31 @@
 /** Notes what it is asked for. */
 class recording_port : public relay_port {
  public:
-  bool alive(const std::string& daemon, common::Instant) const override {
+  bool is_reachable(const std::string& daemon, common::Instant) const override {
     return !this->dead.contains(daemon);
   }
-  bool stays(const std::string& daemon, common::Instant) const override {
+  bool is_available(const std::string& daemon, common::Instant) const override {
     return !this->dead.contains(daemon) && !this->leaving.contains(daemon);
   }
-  bool may_hold(session_number, const std::string& zone) const override {
+  bool zone_may_serve(session_number, const std::string& zone) const override {
     return !this->closed_zones.contains(zone);
   }
   void open_link(session_number, const std::string& owner) override {
     this->opened.push_back(owner);
   }
   void close_link(session_number) override {}
-  void serve_here(session_number, common::Instant) override { ++this->served_here; }
+  void serve_locally(session_number, common::Instant) override { ++this->served_here; }
   void answer(session_number, model::ErrorCode error, const std::string&) override {
     this->answers.push_back(error);
     this->answered_before_end = this->answered_before_end && this->ended == 0;
   }
-  void refuse(session_number, model::ErrorCode error, const std::string&) override {
+  void reject_caller(session_number, model::ErrorCode error, const std::string&) override {
     this->refusals.push_back(error);
     ++this->ended;
   }
-  void end_caller(session_number) override { ++this->ended; }
-  void note(const relay_note&) override {}
-  void note_ending(std::size_t, const char*) override {}
+  void close_caller(session_number) override { ++this->ended; }
+  void log_session(const relay_log_entry&) override {}
+  void log_ending(std::size_t, const char*) override {}
 
   std::set<std::string> dead;
   std::set<std::string> leaving;
@@ -128,8 +128,8 @@
 TEST_CASE("A caller that an owner turned away is not handed on", "[relay]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.declined(SESSION, NOW);
-  test.sessions.link_ended(SESSION, {ENDED}, NOW);
+  test.sessions.on_rejected(SESSION, NOW);
+  test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
   CHECK(test.port.opened.size() == 1);
   CHECK(test.port.ended == 1);
 }
@@ -137,9 +137,9 @@
 TEST_CASE("An owner that ends before it accepts is followed by the next", "[relay]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.link_ended(SESSION, {ENDED}, NOW);
+  test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
   CHECK(test.port.opened == std::vector<std::string>{test.near(), test.far()});
-  test.sessions.link_ended(SESSION, {ENDED}, NOW);
+  test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
   CHECK(test.port.served_here == 1);
   CHECK_FALSE(test.sessions.contains(SESSION));
 }
@@ -155,8 +155,8 @@
   // It might run twice.
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
-  test.sessions.link_ended(SESSION, {ENDED}, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
+  test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
   CHECK(test.port.opened.size() == 1);
   CHECK(test.port.ended == 1);
   CHECK(test.sessions.counters().lost == 1);
@@ -178,14 +178,14 @@
     test.sessions.start(number, "ledger", "", NOW);
   }
   for (session_number number = SESSION; number < UNACCEPTED; ++number) {
-    test.sessions.accepted(number, NOW);
+    test.sessions.on_accepted(number, NOW);
   }
-  test.sessions.command_sent(RESTING, READ, NOW);
-  test.sessions.answered(RESTING, model::TransactionState::kIdle, NOW);
-  test.sessions.command_sent(IN_TRANSACTION, model::CommandKind::kBegin, NOW);
-  test.sessions.answered(IN_TRANSACTION, model::TransactionState::kOpen, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
-  test.sessions.command_sent(BUSY_TOO, READ, NOW);
+  test.sessions.on_command_sent(RESTING, READ, NOW);
+  test.sessions.on_answered(RESTING, model::TransactionState::kIdle, NOW);
+  test.sessions.on_command_sent(IN_TRANSACTION, model::CommandKind::kBegin, NOW);
+  test.sessions.on_answered(IN_TRANSACTION, model::TransactionState::kOpen, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
+  test.sessions.on_command_sent(BUSY_TOO, READ, NOW);
   test.port.dead.insert(test.near());
 
   // What has nothing under way leaves at once, or goes to the next owner.
@@ -193,10 +193,10 @@
   CHECK(test.port.ended == 1);
   CHECK_FALSE(test.sessions.contains(RESTING));
   CHECK(test.port.opened.back() == test.far());
-  test.sessions.accepted(UNACCEPTED, NOW);
+  test.sessions.on_accepted(UNACCEPTED, NOW);
 
   // Part of an answer over one link shows that the owner is alive.
-  test.sessions.owner_spoke(BUSY_TOO, false, NOW + APART);
+  test.sessions.on_owner_bytes(BUSY_TOO, false, NOW + APART);
   test.sessions.tick(NOW + APART + SILENCE - common::Duration(1));
   CHECK(test.port.ended == 1);
   test.sessions.tick(NOW + APART + SILENCE);
@@ -208,8 +208,8 @@
 TEST_CASE("An owner that is heard is given up for no silence", "[relay]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
   test.sessions.tick(NOW + 10 * SILENCE);
   CHECK(test.port.ended == 0);
 }
@@ -267,16 +267,16 @@
     CAPTURE(index);
     fixture test;
     test.sessions.start(SESSION, "ledger", "", NOW);
-    test.sessions.accepted(SESSION, NOW);
+    test.sessions.on_accepted(SESSION, NOW);
     for (const auto& [kind, state] : cases[index].answered) {
-      test.sessions.command_sent(SESSION, kind, NOW);
-      test.sessions.owner_spoke(SESSION, true, NOW);
-      test.sessions.answered(SESSION, state, NOW);
+      test.sessions.on_command_sent(SESSION, kind, NOW);
+      test.sessions.on_owner_bytes(SESSION, true, NOW);
+      test.sessions.on_answered(SESSION, state, NOW);
     }
     for (const CommandKind kind : cases[index].under_way) {
-      test.sessions.command_sent(SESSION, kind, NOW);
+      test.sessions.on_command_sent(SESSION, kind, NOW);
     }
-    test.sessions.link_ended(SESSION, {ENDED}, NOW);
+    test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
     CHECK(test.port.answers == cases[index].answers);
     CHECK(test.port.answered_before_end);
     CHECK(test.port.ended == 1);
@@ -289,48 +289,48 @@
   test.sessions.start(SESSION, "ledger", "", NOW);
 
   SECTION("a silent owner's commands are answered too") {
-    test.sessions.accepted(SESSION, NOW);
-    test.sessions.command_sent(SESSION, READ, NOW);
+    test.sessions.on_accepted(SESSION, NOW);
+    test.sessions.on_command_sent(SESSION, READ, NOW);
     test.port.dead.insert(test.near());
     test.sessions.tick(NOW + SILENCE);
     CHECK(test.port.answers == std::vector<ErrorCode>{ErrorCode::kFailed});
     CHECK(test.port.ended == 1);
   }
   SECTION("so are those of an owner whose region may not hold them any more") {
-    test.sessions.accepted(SESSION, NOW);
-    test.sessions.command_sent(SESSION, model::CommandKind::kWrite, NOW);
+    test.sessions.on_accepted(SESSION, NOW);
+    test.sessions.on_command_sent(SESSION, model::CommandKind::kWrite, NOW);
     test.port.closed_zones = {"a"};
-    test.sessions.regions_changed(NOW);
+    test.sessions.on_regions_changed(NOW);
     test.sessions.tick(NOW + MOVE_DEADLINE);
     CHECK(test.port.answers == std::vector<ErrorCode>{ErrorCode::kInDoubt});
     CHECK(test.port.ended == 1);
   }
   SECTION("after part of an answer nothing can be told") {
-    test.sessions.accepted(SESSION, NOW);
-    test.sessions.command_sent(SESSION, READ, NOW);
-    test.sessions.owner_spoke(SESSION, false, NOW);
-    test.sessions.link_ended(SESSION, {ENDED}, NOW);
+    test.sessions.on_accepted(SESSION, NOW);
+    test.sessions.on_command_sent(SESSION, READ, NOW);
+    test.sessions.on_owner_bytes(SESSION, false, NOW);
+    test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
     CHECK(test.port.answers.empty());
     CHECK(test.port.ended == 1);
   }
   SECTION("a caller whose commands never left may come back") {
-    test.sessions.command_sent(SESSION, model::CommandKind::kWrite, NOW);
-    test.sessions.link_ended(SESSION, {"not connected: refused", false}, NOW);
+    test.sessions.on_command_sent(SESSION, model::CommandKind::kWrite, NOW);
+    test.sessions.on_link_ended(SESSION, {"not connected: refused", false}, NOW);
     CHECK(test.port.refusals == std::vector<ErrorCode>{ErrorCode::kBusy});
     CHECK(test.port.answers.empty());
     CHECK(test.port.ended == 1);
   }
   SECTION("an owner that did not say that it accepts may still have run them") {
-    test.sessions.command_sent(SESSION, model::CommandKind::kWrite, NOW);
+    test.sessions.on_command_sent(SESSION, model::CommandKind::kWrite, NOW);
     test.sessions.tick(NOW + LONG);
     CHECK(test.port.refusals == std::vector<ErrorCode>{ErrorCode::kInDoubt});
     CHECK(test.port.ended == 1);
   }
   SECTION("a caller that was turned away has its answer") {
-    test.sessions.command_sent(SESSION, READ, NOW);
-    test.sessions.owner_spoke(SESSION, true, NOW);
-    test.sessions.declined(SESSION, NOW);
-    test.sessions.link_ended(SESSION, {ENDED}, NOW);
+    test.sessions.on_command_sent(SESSION, READ, NOW);
+    test.sessions.on_owner_bytes(SESSION, true, NOW);
+    test.sessions.on_rejected(SESSION, NOW);
+    test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
     CHECK(test.port.answers.empty());
     CHECK(test.port.refusals.empty());
     CHECK(test.port.ended == 1);
@@ -340,16 +340,16 @@
 TEST_CASE("A session leaves a stopping owner only when it rests", "[relay]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
   test.port.leaving.insert(test.near());
   test.sessions.tick(NOW);
   CHECK(test.port.ended == 0);
-  test.sessions.answered(SESSION, model::TransactionState::kOpen, NOW);
+  test.sessions.on_answered(SESSION, model::TransactionState::kOpen, NOW);
   test.sessions.tick(NOW);
   CHECK(test.port.ended == 0);
-  test.sessions.command_sent(SESSION, READ, NOW);
-  test.sessions.answered(SESSION, model::TransactionState::kIdle, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
+  test.sessions.on_answered(SESSION, model::TransactionState::kIdle, NOW);
   CHECK(test.port.ended == 1);
 }
 
@@ -360,9 +360,9 @@
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
   test.sessions.start(SESSION + 1, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.accepted(SESSION + 1, NOW);
-  test.sessions.command_sent(SESSION + 1, READ, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_accepted(SESSION + 1, NOW);
+  test.sessions.on_command_sent(SESSION + 1, READ, NOW);
   const std::string former = test.near();
   test.sessions.tick(NOW);
   CHECK(test.port.ended == 0);
@@ -377,14 +377,14 @@
   CHECK_FALSE(test.sessions.contains(SESSION));
 
   // The other ends with its answer.
-  test.sessions.answered(SESSION + 1, model::TransactionState::kIdle, NOW + 2 * GUESTS);
+  test.sessions.on_answered(SESSION + 1, model::TransactionState::kIdle, NOW + 2 * GUESTS);
   CHECK(test.port.ended == 2);
 }
 
 TEST_CASE("A session stays with an owner that is one again in time", "[relay]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
   const std::string former = test.near();
   const role_map before = test.roles;
   test.lose_owner(former);
@@ -401,14 +401,14 @@
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
   test.sessions.start(SESSION + 1, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.accepted(SESSION + 1, NOW);
-  test.sessions.command_sent(SESSION + 1, READ, NOW);
-  test.sessions.asked_to_end(SESSION);
-  test.sessions.asked_to_end(SESSION + 1);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_accepted(SESSION + 1, NOW);
+  test.sessions.on_command_sent(SESSION + 1, READ, NOW);
+  test.sessions.on_end_requested(SESSION);
+  test.sessions.on_end_requested(SESSION + 1);
   CHECK(test.port.ended == 1);
   CHECK_FALSE(test.sessions.contains(SESSION));
-  test.sessions.answered(SESSION + 1, model::TransactionState::kIdle, NOW);
+  test.sessions.on_answered(SESSION + 1, model::TransactionState::kIdle, NOW);
   CHECK(test.port.ended == 2);
 }
 
@@ -416,12 +416,12 @@
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
   test.sessions.start(SESSION + 1, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.accepted(SESSION + 1, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_accepted(SESSION + 1, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
   test.sessions.start_closing(NOW + SHORT);
   CHECK(test.port.ended == 1);
-  test.sessions.answered(SESSION, model::TransactionState::kIdle, NOW);
+  test.sessions.on_answered(SESSION, model::TransactionState::kIdle, NOW);
   CHECK(test.port.ended == 2);
 }
 
@@ -433,15 +433,15 @@
   // close.
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
   test.sessions.start_closing(NOW + SHORT / 2);
   CHECK(test.port.ended == 0);
 
   SECTION("it ends with the answer to that command") {
-    test.sessions.command_sent(SESSION, READ, NOW + SHORT / 2);
+    test.sessions.on_command_sent(SESSION, READ, NOW + SHORT / 2);
     test.sessions.start_closing(NOW + 2 * SHORT);
     CHECK(test.port.ended == 0);
-    test.sessions.answered(SESSION, model::TransactionState::kIdle, NOW + 2 * SHORT);
+    test.sessions.on_answered(SESSION, model::TransactionState::kIdle, NOW + 2 * SHORT);
     CHECK(test.port.ended == 1);
   }
   SECTION("it ends if none comes") {
@@ -455,10 +455,10 @@
   // each such command it knows no less than of one whose link is lost.
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, model::CommandKind::kWrite, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, model::CommandKind::kWrite, NOW);
   test.sessions.start(SESSION + 1, "ledger", "", NOW);
-  test.sessions.accepted(SESSION + 1, NOW);
+  test.sessions.on_accepted(SESSION + 1, NOW);
   test.sessions.close_all();
   CHECK(test.port.answers == std::vector{model::ErrorCode::kInDoubt});
   CHECK(test.port.ended == 2);
@@ -478,7 +478,7 @@
   fixture test;
   test.port.closed_zones = {"b"};
   test.sessions.start(SESSION, "ledger", "tenant", NOW);
-  test.sessions.link_ended(SESSION, {ENDED}, NOW);
+  test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
   CHECK(test.port.opened == std::vector<std::string>{test.near()});
   CHECK(test.port.served_here == 1);
 }
@@ -527,13 +527,13 @@
 TEST_CASE("A session whose owner may no longer hold it ends as it rests", "[relay][regions]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
   test.port.closed_zones = {"a"};
-  test.sessions.regions_changed(NOW);
+  test.sessions.on_regions_changed(NOW);
   test.sessions.tick(NOW);
   CHECK(test.port.ended == 0);
-  test.sessions.answered(SESSION, model::TransactionState::kIdle, NOW);
+  test.sessions.on_answered(SESSION, model::TransactionState::kIdle, NOW);
   CHECK(test.port.ended == 1);
   CHECK(test.sessions.counters().moved == 1);
 }
@@ -542,11 +542,11 @@
           "[relay][regions]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
-  test.sessions.answered(SESSION, model::TransactionState::kOpen, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
+  test.sessions.on_answered(SESSION, model::TransactionState::kOpen, NOW);
   test.port.closed_zones = {"a"};
-  test.sessions.regions_changed(NOW);
+  test.sessions.on_regions_changed(NOW);
   test.sessions.tick(NOW + MOVE_LIMIT - common::Duration(1));
   CHECK(test.port.ended == 0);
   test.sessions.tick(NOW + MOVE_LIMIT);
@@ -556,10 +556,10 @@
 TEST_CASE("A caller that never awaits its answers is ended at the deadline", "[relay][regions]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
   test.port.closed_zones = {"a"};
-  test.sessions.regions_changed(NOW);
+  test.sessions.on_regions_changed(NOW);
   test.sessions.tick(NOW + MOVE_LIMIT);
   CHECK(test.port.ended == 0);
   test.sessions.tick(NOW + MOVE_DEADLINE);
@@ -571,7 +571,7 @@
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
   test.port.closed_zones = {"a"};
-  test.sessions.regions_changed(NOW);
+  test.sessions.on_regions_changed(NOW);
   CHECK(test.port.opened == std::vector<std::string>{test.near(), test.far()});
   CHECK(test.port.ended == 0);
 }
@@ -581,14 +581,14 @@
   fixture test;
   test.port.closed_zones = {"a"};
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, READ, NOW);
-  test.sessions.answered(SESSION, model::TransactionState::kOpen, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, READ, NOW);
+  test.sessions.on_answered(SESSION, model::TransactionState::kOpen, NOW);
   test.port.closed_zones.clear();
-  test.sessions.regions_changed(NOW);
+  test.sessions.on_regions_changed(NOW);
   test.sessions.tick(NOW + MOVE_DEADLINE);
   CHECK(test.port.ended == 0);  // it may stay where it is
-  test.sessions.answered(SESSION, model::TransactionState::kIdle, NOW + MOVE_DEADLINE);
+  test.sessions.on_answered(SESSION, model::TransactionState::kIdle, NOW + MOVE_DEADLINE);
   CHECK(test.port.ended == 1);
 }
 
@@ -596,9 +596,9 @@
           "[relay][regions]") {
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
   test.port.closed_zones = {"b"};
-  test.sessions.regions_changed(NOW);
+  test.sessions.on_regions_changed(NOW);
   test.sessions.tick(NOW + MOVE_DEADLINE);
   CHECK(test.port.ended == 0);
 }
@@ -621,7 +621,7 @@
   // The owner stops: its next tick here ends what was accepted a moment before.
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
   test.port.leaving.insert(test.near());
   test.sessions.tick(NOW + common::Duration(1'000));
   CHECK(test.port.ended == 0);
@@ -632,10 +632,10 @@
   // behind it runs by itself and is kept.
   fixture test;
   test.sessions.start(SESSION, "ledger", "", NOW);
-  test.sessions.accepted(SESSION, NOW);
-  test.sessions.command_sent(SESSION, model::CommandKind::kBegin, NOW);
-  test.sessions.command_sent(SESSION, model::CommandKind::kWrite, NOW);
-  test.sessions.link_ended(SESSION, {ENDED}, NOW);
+  test.sessions.on_accepted(SESSION, NOW);
+  test.sessions.on_command_sent(SESSION, model::CommandKind::kBegin, NOW);
+  test.sessions.on_command_sent(SESSION, model::CommandKind::kWrite, NOW);
+  test.sessions.on_link_ended(SESSION, {ENDED}, NOW);
   REQUIRE(test.port.answers.size() == 2);
   CHECK(test.port.answers[1] == model::ErrorCode::kInDoubt);
 }
--- a/tests/relay/role_map_test.cc
+++ b/tests/relay/role_map_test.cc
@@ -26,10 +26,10 @@
 TEST_CASE("In a small deployment each daemon does everything", "[relay]") {
   const role_map roles = made("daemon-1", 6, 34);
   CHECK(roles.meshed());
-  CHECK(roles.direct("ledger"));
+  CHECK(roles.is_direct("ledger"));
   CHECK(roles.coordinates("daemon-5"));
   CHECK(roles.owns("ledger", "daemon-5"));
-  CHECK(roles.connections("ledger", false) == 5);
+  CHECK(roles.connection_limit("ledger", false) == 5);
 }
 
 TEST_CASE("Daemons that outnumber the connections leave them to owners", "[relay]") {
@@ -40,7 +40,7 @@
   std::set<std::string> owners;
   for (const member& each : daemons(count)) {
     const role_map roles = made(each.name, count, most);
-    total += roles.connections("ledger", false);
+    total += roles.connection_limit("ledger", false);
     if (roles.owns("ledger")) {
       owners.insert(each.name);
     }
@@ -60,8 +60,8 @@
 TEST_CASE("A service whose instances take connections enough stays direct", "[relay]") {
   const role_map roles = made("daemon-1", 68, 225);
   CHECK_FALSE(roles.meshed());
-  CHECK(roles.direct("ledger"));
-  CHECK(roles.connections("ledger", false) == 3);
+  CHECK(roles.is_direct("ledger"));
+  CHECK(roles.connection_limit("ledger", false) == 3);
 }
 
 TEST_CASE("Three daemons coordinate, those with the store first", "[relay]") {
@@ -89,8 +89,8 @@
   for (const member& each : daemons(67)) {
     const role_map roles = made(each.name, 67, 39);
     const bool watches = roles.watches("ledger", each.name);
-    CHECK((roles.connections("ledger", false) > 0) == watches);
-    CHECK(roles.connections("ledger", true) >= 1);
+    CHECK((roles.connection_limit("ledger", false) > 0) == watches);
+    CHECK(roles.connection_limit("ledger", true) >= 1);
     idle += watches ? 0 : 1;
   }
   CHECK(idle >= 58);
@@ -137,7 +137,7 @@
   role_map roles("daemon-0", {});
   for (const std::size_t count : {295, 299, 295, 298, 199}) {
     roles.update(daemons(count), count, services);
-    CHECK_FALSE(roles.direct("ledger"));
+    CHECK_FALSE(roles.is_direct("ledger"));
   }
 }
 
@@ -147,16 +147,16 @@
   const std::map<std::string, std::uint32_t> services = {{"ledger", 225}};
   role_map roles("daemon-0", {});
   roles.update(daemons(40), 40, services, false);
-  CHECK_FALSE(roles.direct("ledger"));
+  CHECK_FALSE(roles.is_direct("ledger"));
   roles.update(daemons(68), 68, services, true);
-  CHECK(roles.direct("ledger"));
+  CHECK(roles.is_direct("ledger"));
   // Two each are enough to go on with.
   roles.update(daemons(90), 90, services, true);
-  CHECK(roles.direct("ledger"));
+  CHECK(roles.is_direct("ledger"));
   roles.update(daemons(112), 112, services, true);
-  CHECK_FALSE(roles.direct("ledger"));
+  CHECK_FALSE(roles.is_direct("ledger"));
   roles.update(daemons(90), 90, services, true);
-  CHECK_FALSE(roles.direct("ledger"));
+  CHECK_FALSE(roles.is_direct("ledger"));
 }
 
 TEST_CASE("Deputies follow the coordinators in order, whoever has the store", "[relay]") {
@@ -237,9 +237,9 @@
     CHECK_FALSE(roles.owns(service));
   }
   CHECK_FALSE(roles.watches_any());
-  CHECK(roles.worked_out() == 0);
+  CHECK(roles.computed_services() == 0);
   CHECK_FALSE(roles.owners("service7").empty());
-  CHECK(roles.worked_out() == 1);
+  CHECK(roles.computed_services() == 1);
 }
 
 }  // namespace valvekeel::relay
--- a/tests/relay_link/owner_link_test.cc
+++ b/tests/relay_link/owner_link_test.cc
@@ -31,9 +31,9 @@
  public:
   explicit recording_events(record& seen) : seen(seen) {}
   void on_accepted() override { this->seen.accepted = true; }
-  void on_declined() override { this->seen.declined = true; }
+  void on_rejected() override { this->seen.declined = true; }
   void on_answer(const model::Reply& reply) override { this->seen.answers.push_back(reply); }
-  void on_goodbye() override { ++this->seen.goodbyes; }
+  void on_end_request() override { ++this->seen.goodbyes; }
   void on_bytes(std::string_view bytes) override { this->seen.bytes += bytes; }
   void on_read(bool between_messages) override { this->seen.between_messages = between_messages; }
   void on_ended(const std::string&, bool was_open) override {
@@ -133,7 +133,7 @@
 TEST_CASE("An owner's goodbye is told and not passed back", "[relay_link]") {
   const std::string before = "READY I -\r\n";
   const std::string after = "ROW a\x04z\r\nCOMPLETE 1.a\r\nREADY I 3.12\r\n";
-  fixture test(before + relay::GOODBYE + after);
+  fixture test(before + relay::END_REQUEST + after);
   test.link->expect_answer();
   test.link->open({"127.0.0.1", test.listener.Port()}, TIMEOUT, "first");
   REQUIRE(test.run_until([&] { return !test.seen.answers.empty(); }));
