--- a/src/membership/live_view.h
+++ b/src/membership/live_view.h
@@ -42,6 +42,7 @@
   std::string reporting_hub;  // whose list no longer has them; empty: this daemon's own list
 };
 
+/** The live daemons of the deployment, according to this daemon. */
 class live_view {
  public:
   /** @param self  this daemon; set_self sets its flags. */
--- a/src/membership/roster.h
+++ b/src/membership/roster.h
@@ -21,8 +21,10 @@
 
 namespace valvekeel::membership {
 
+/** The daemons that count as live and their sources, evaluated in rounds. */
 class roster {
  public:
+  /** A daemon that counts as live. */
   struct entry {
     member reported;         // by the preferred source
     bool supported = false;  // in this round
@@ -71,6 +73,7 @@
 
   void clear() { this->entries.clear(); }
 
+  /** @return all entries by name. */
   const std::map<std::string, entry>& all() const { return this->entries; }
 
   /** @return when the next unsupported entry expires, or nothing. */
--- a/src/relay/handover.cc
+++ b/src/relay/handover.cc
@@ -6,13 +6,13 @@
 namespace {
 
 constexpr const char* CONFIGURATION = "configuration";
-constexpr const char* TAKES_GOODBYE = "goodbye";
+constexpr const char* SUPPORTS_END_REQUEST = "goodbye";
 
 }  // namespace
 
 std::string encode(const handover& value) {
   const nlohmann::json line = {{CONFIGURATION, value.least_configuration},
-                               {TAKES_GOODBYE, value.supports_end_request}};
+                               {SUPPORTS_END_REQUEST, value.supports_end_request}};
   return line.dump() + "\n";
 }
 
@@ -23,11 +23,11 @@
   if (!readable) {
     return std::nullopt;
   }
-  // A daemon of an earlier version does not write it.
-  const auto goodbye = parsed.find(TAKES_GOODBYE);
-  const bool takes_goodbye =
-      goodbye != parsed.end() && goodbye->is_boolean() && goodbye->get<bool>();
-  return handover{parsed.at(CONFIGURATION).get<std::uint64_t>(), takes_goodbye};
+  // Daemons of earlier versions do not send this field.
+  const auto end_request = parsed.find(SUPPORTS_END_REQUEST);
+  const bool supports_end_request =
+      end_request != parsed.end() && end_request->is_boolean() && end_request->get<bool>();
+  return handover{parsed.at(CONFIGURATION).get<std::uint64_t>(), supports_end_request};
 }
 
 }  // namespace valvekeel::relay
--- a/src/relay/handover.h
+++ b/src/relay/handover.h
@@ -1,9 +1,9 @@
 /**
- * @file The line with which a daemon hands a caller's session to another.
+ * @file The message with which a daemon hands a caller's session over to another daemon.
  *
- * It goes ahead of the caller's own bytes: one line of JSON.
+ * It is one line of JSON that precedes the caller's own bytes.
  *
- * Owns: nothing. Invariant: whatever encode writes, decode reads. Thread: any (values only).
+ * Invariant: decode reads whatever encode writes. Values only; safe on any thread.
  */
 #pragma once
 
@@ -15,27 +15,27 @@
 
 namespace valvekeel::relay {
 
-/** What the owner has to know of a session that is handed to it. */
+/** Information for the owner about a session that is handed over to it. */
 struct handover {
-  /** Version of the configuration in force where the session comes from. */
+  /** Version of the configuration in force at the daemon that hands over the session. */
   std::uint64_t least_configuration = 0;
-  /** The daemon ends the session as it rests when it is sent GOODBYE. */
+  /** That daemon ends the session once it is idle when it receives END_REQUEST. */
   bool supports_end_request = false;
 };
 
 /**
- * Byte with which an owner asks, between two messages, to end a session as it rests: only the
- * daemon that passes commands on knows that none is under way. No message begins with it.
+ * Byte with which an owner asks, between two messages, to end a session once it is idle. Only the
+ * daemon that forwards the commands knows that none is in flight. No message begins with this byte.
  */
 inline constexpr char END_REQUEST = '\x04';
 
-/** Longest line, its end included. */
+/** Longest line in bytes, including its end. */
 inline constexpr std::size_t MAX_HANDOVER_BYTES = 256;
 
-/** @return the line, its end included. */
+/** @return the line, including its end. */
 std::string encode(const handover& value);
 
-/** @return what the line says, nothing if it can't be read. */
+/** @return the parsed line, or nothing if it is invalid. */
 std::optional<handover> decode(std::string_view line);
 
 }  // namespace valvekeel::relay
--- a/src/relay/lost_commands.cc
+++ b/src/relay/lost_commands.cc
@@ -11,16 +11,16 @@
 /** The transaction that commands run in, if there is one. */
 struct running_transaction {
   bool open = false;
-  bool failed = false;  // its end rolls back
+  bool failed = false;  // its commit rolls back
   bool wrote = false;
-  bool begun = false;  // by a command that may be refused yet: what follows may stand alone
+  bool begun = false;  // by a BEGIN that may be rejected: later commands may run alone
 
-  /** Goes past a command. @return true if the command may have kept something. */
-  bool pass(CommandKind kind) {
+  /** Advances past a command. @return true if the command may have stored something. */
+  bool advance(CommandKind kind) {
     if (kind == CommandKind::kCommit || kind == CommandKind::kRollback) {
-      const bool kept = kind == CommandKind::kCommit && this->wrote && !this->failed;
+      const bool stored = kind == CommandKind::kCommit && this->wrote && !this->failed;
       *this = {};
-      return kept;
+      return stored;
     }
     if (kind == CommandKind::kBegin || kind == CommandKind::kBeginReadOnly) {
       this->begun = true;
@@ -41,21 +41,21 @@
                                                 model::TransactionState state, bool wrote) {
   running_transaction transaction{state != model::TransactionState::kIdle,
                                   state == model::TransactionState::kFailed, wrote};
-  std::vector<ErrorCode> outcomes;
-  std::size_t in_doubt = 0;  // commands up to the last one that may have kept something
+  std::vector<ErrorCode> errors;
+  std::size_t in_doubt = 0;  // commands up to the last one that may have stored something
   for (const forwarded_command& command : commands) {
     const bool single_read =
         !transaction.open && !transaction.begun && command.kind == CommandKind::kRead;
-    // The end of the owner's side of the session rolls back whatever is open.
-    outcomes.push_back(single_read ? ErrorCode::kFailed : ErrorCode::kAborted);
-    if (transaction.pass(command.kind)) {
-      in_doubt = outcomes.size();
+    // When the owner's side of the session ends, an open transaction is rolled back.
+    errors.push_back(single_read ? ErrorCode::kFailed : ErrorCode::kAborted);
+    if (transaction.advance(command.kind)) {
+      in_doubt = errors.size();
     }
   }
   for (std::size_t index = 0; index < in_doubt; ++index) {
-    outcomes[index] = ErrorCode::kInDoubt;
+    errors[index] = ErrorCode::kInDoubt;
   }
-  return outcomes;
+  return errors;
 }
 
 }  // namespace valvekeel::relay
--- a/src/relay/lost_commands.h
+++ b/src/relay/lost_commands.h
@@ -1,9 +1,9 @@
 /**
- * @file What is known of commands whose owner was lost before it answered.
+ * @file Errors for commands whose owner was lost before it answered.
  *
- * Owns: nothing. Invariant: a promise that nothing is kept is made only where neither the command
- * nor one after it may have kept something: a caller that tries its whole work again because of it
- * must not run twice. Pure. Thread: any (values only).
+ * Invariant: an error that promises that nothing was stored is returned only if neither the command
+ * nor a later one may have stored something. A caller that retries all its work after such an error
+ * must not execute it twice. Pure functions; safe on any thread.
  */
 #pragma once
 
@@ -16,20 +16,22 @@
 
 namespace valvekeel::relay {
 
-/** A command that was passed on to an owner. */
+/** A command that was forwarded to an owner. */
 struct forwarded_command {
   model::CommandKind kind = model::CommandKind::kInvalid;
   common::Instant sent{0};
 };
 
-/** @return true if the command may write. What a prepared statement does is not known here. */
+/** @return true if the command may write. The effect of a prepared statement is unknown here. */
 bool may_write(model::CommandKind kind);
 
 /**
- * @param commands  that were passed on, the oldest first
- * @param state  after the last answer
- * @param wrote  whether a write was answered in the transaction that is open
- * @return for each command the error that says what is known of it
+ * Determines the error for each unanswered command.
+ *
+ * @param commands  the forwarded commands, the oldest first
+ * @param state     the transaction state after the last answer
+ * @param wrote     true if a write was answered in the open transaction
+ * @return for each command the error that states what is known about its outcome
  */
 std::vector<model::ErrorCode> errors_for_lost_commands(
     const std::deque<forwarded_command>& commands, model::TransactionState state, bool wrote);
--- a/src/relay/relayed_sessions.cc
+++ b/src/relay/relayed_sessions.cc
@@ -9,18 +9,18 @@
 namespace valvekeel::relay {
 namespace {
 
-/** Time for an owner to accept a session. */
-constexpr common::Duration ACCEPT_LIMIT{400'000};
+/** Longest time for an owner to accept a session. */
+constexpr common::Duration ACCEPT_TIMEOUT{400'000};
 
-/** Time between looks for owners that have ceased to be: as often as the roles are worked out. */
-constexpr common::Duration FORMER_INTERVAL{100'000};
+/** Interval of the checks for former owners: as often as the roles are computed. */
+constexpr common::Duration FORMER_OWNER_CHECK_INTERVAL{100'000};
 
-/** For a caller whose commands never left: another connection finds another owner. */
-constexpr const char* COME_BACK = "retry_after_ms=250 its owner could not be reached";
-constexpr const char* LOST = "the connection was lost";
+/** For a caller whose commands were not sent to any owner. A new connection uses another owner. */
+constexpr const char* OWNER_UNREACHABLE = "retry_after_ms=250 its owner could not be reached";
+constexpr const char* CONNECTION_LOST = "the connection was lost";
 
 constexpr const char* STOPPING = "the daemon stops";
-constexpr const char* NOT_HEARD = "its owner is not heard";
+constexpr const char* OWNER_NOT_REACHABLE = "its owner is not heard";
 
 }  // namespace
 
@@ -30,23 +30,23 @@
 std::vector<std::string> relayed_sessions::available_owners(const std::vector<std::string>& owners,
                                                             const relayed_session& session,
                                                             common::Instant now) const {
-  std::vector<std::string> able;
+  std::vector<std::string> available;
   for (const std::string& owner : owners) {
     if (!session.tried_owners.contains(owner) && this->port.is_available(owner, now)) {
-      able.push_back(owner);
+      available.push_back(owner);
     }
   }
-  return able;
+  return available;
 }
 
 std::string relayed_sessions::pick_owner(const std::vector<std::string>& owners,
                                          const relayed_session& session,
                                          common::Instant now) const {
-  const std::vector<std::string> able = this->available_owners(owners, session, now);
-  if (able.empty() || session.tenant.empty()) {
-    return this->least_used_owner(able);
+  const std::vector<std::string> available = this->available_owners(owners, session, now);
+  if (available.empty() || session.tenant.empty()) {
+    return this->least_used_owner(available);
   }
-  return *std::max_element(able.begin(), able.end(), [&](const auto& a, const auto& b) {
+  return *std::max_element(available.begin(), available.end(), [&](const auto& a, const auto& b) {
     return common::StableHash(session.tenant, a) < common::StableHash(session.tenant, b);
   });
 }
@@ -68,20 +68,21 @@
 relayed_sessions::owner_choice relayed_sessions::choose_owner(session_number number,
                                                               const relayed_session& session,
                                                               common::Instant now) const {
-  const bool may_stay = this->port.zone_may_serve(number, this->zone);
-  if (may_stay) {
-    const std::string near =
+  const bool may_use_own_zone = this->port.zone_may_serve(number, this->zone);
+  if (may_use_own_zone) {
+    const std::string owner =
         this->pick_owner(this->roles.owners_in(session.service, this->zone), session, now);
-    if (!near.empty()) {
-      return {near, this->zone};
+    if (!owner.empty()) {
+      return {owner, this->zone};
     }
   }
-  return this->choose_in_other_zones(number, session, !may_stay, now);
+  return this->choose_in_any_zone(number, session, !may_use_own_zone, now);
 }
 
-relayed_sessions::owner_choice relayed_sessions::choose_in_other_zones(
-    session_number number, const relayed_session& session, bool sent_away,
-    common::Instant now) const {
+relayed_sessions::owner_choice relayed_sessions::choose_in_any_zone(session_number number,
+                                                                    const relayed_session& session,
+                                                                    bool excluded_from_own_zone,
+                                                                    common::Instant now) const {
   std::vector<std::string> zones;
   std::vector<std::string> owners;
   std::map<std::string, std::string> zone_of;
@@ -95,11 +96,12 @@
       zone_of[owner] = zone;
     }
   }
-  if (!sent_away || session.tenant.empty()) {
+  if (!excluded_from_own_zone || session.tenant.empty()) {
     const std::string owner = this->pick_owner(owners, session, now);
     return {owner, zone_of[owner]};
   }
-  // Whole zones are sent away for good, not only when owners are lost: their tenants are spread.
+  // A zone can be excluded permanently, not only while owners are lost. So its tenants are spread
+  // over the other zones.
   for (const std::string& zone : this->zones_in_tenant_order(std::move(zones), session.tenant)) {
     const std::string owner =
         this->pick_owner(this->roles.owners_in(session.service, zone), session, now);
@@ -121,12 +123,12 @@
 
 void relayed_sessions::start(session_number session, const std::string& service,
                              const std::string& tenant, common::Instant now) {
-  relayed_session& made = this->sessions[session];
-  made.service = service;
-  made.tenant = tenant;
+  relayed_session& added = this->sessions[session];
+  added.service = service;
+  added.tenant = tenant;
   ++this->counts.started;
   ++this->unaccepted;
-  this->hand_over(session, made, now);
+  this->hand_over(session, added, now);
 }
 
 void relayed_sessions::hand_over(session_number number, relayed_session& session,
@@ -164,11 +166,11 @@
 }
 
 void relayed_sessions::on_rejected(session_number session, common::Instant now) {
-  // As after an acceptance, the end of the link ends the session.
+  // As after an acceptance, the session ends with the link.
   this->on_accepted(session, now);
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end()) {
-    found->second.in_flight.clear();  // the error was the answer to all
+    found->second.in_flight.clear();  // the error answers all of them
   }
 }
 
@@ -198,7 +200,7 @@
   }
   found->second.end_requested = true;
   if (found->second.is_accepted && found->second.is_idle()) {
-    this->end_sessions({session}, "the owner asks for it");
+    this->end_sessions({session}, "the owner requested it");
   }
 }
 
@@ -216,14 +218,15 @@
   }
   relayed.wrote = relayed.wrote && state != model::TransactionState::kIdle;
   if (!relayed.in_flight.empty()) {
-    return;  // the next answers may be among the bytes that the caller has already
+    return;  // the next answers may be in the bytes already forwarded
   }
-  const bool leaving = this->closing || relayed.end_requested || relayed.is_on_former_owner(now) ||
-                       !this->port.is_available(relayed.owner, now);
+  const bool must_leave = this->closing || relayed.end_requested ||
+                          relayed.is_on_former_owner(now) ||
+                          !this->port.is_available(relayed.owner, now);
   if (relayed.misplaced() && must_move(relayed, now)) {
     ++this->counts.moved;
     this->end_session(session);
-  } else if (leaving && relayed.is_idle()) {
+  } else if (must_leave && relayed.is_idle()) {
     this->end_session(session);
   }
 }
@@ -270,26 +273,26 @@
 }
 
 bool relayed_sessions::answer_lost_commands(session_number number, const relayed_session& session) {
-  const bool untouched = !session.is_accepted && session.in_flight.empty();
-  if (untouched) {
-    this->port.reject_caller(number, model::ErrorCode::kBusy, COME_BACK);
+  const bool may_retry = !session.is_accepted && session.in_flight.empty();
+  if (may_retry) {
+    this->port.reject_caller(number, model::ErrorCode::kBusy, OWNER_UNREACHABLE);
     return false;
   }
   if (!session.can_answer_in_flight()) {
     return true;
   }
-  const std::vector<model::ErrorCode> outcomes =
+  const std::vector<model::ErrorCode> errors =
       errors_for_lost_commands(session.in_flight, session.state, session.wrote);
   if (session.is_accepted) {
-    for (const model::ErrorCode outcome : outcomes) {
-      this->port.answer(number, outcome, LOST);
+    for (const model::ErrorCode error : errors) {
+      this->port.answer(number, error, CONNECTION_LOST);
     }
     return true;
   }
   if (session.nothing_sent) {
-    this->port.reject_caller(number, model::ErrorCode::kBusy, COME_BACK);
+    this->port.reject_caller(number, model::ErrorCode::kBusy, OWNER_UNREACHABLE);
   } else {
-    this->port.reject_caller(number, outcomes.front(), LOST);
+    this->port.reject_caller(number, errors.front(), CONNECTION_LOST);
   }
   return false;
 }
@@ -336,35 +339,36 @@
   return seen;
 }
 
-std::set<std::string> relayed_sessions::find_timed_out(const std::set<std::string>& unheard,
+std::set<std::string> relayed_sessions::find_timed_out(const std::set<std::string>& unreachable,
                                                        common::Instant now) const {
-  // A view loses owners for a moment when the daemon that tells it who lives stops: in days of
-  // planned stops owners were given up 4 to 196 ms after a command that they were at work on.
-  std::set<std::string> silent;
+  // A view can lose live owners for a moment when a hub stops. So an unreachable owner is given up
+  // only after a timeout of its own. Without it, owners that were executing a command were given up
+  // 4 to 196 ms after it was sent.
+  std::set<std::string> timed_out;
   for (const auto& [number, session] : this->sessions) {
-    if (session.in_flight.empty() || !unheard.contains(session.owner)) {
+    if (session.in_flight.empty() || !unreachable.contains(session.owner)) {
       continue;
     }
-    const auto spoken = this->last_bytes.find(session.owner);
+    const auto last_received = this->last_bytes.find(session.owner);
     const common::Instant sent = session.in_flight.front().sent;
     const common::Instant since =
-        spoken == this->last_bytes.end() ? sent : std::max(sent, spoken->second);
+        last_received == this->last_bytes.end() ? sent : std::max(sent, last_received->second);
     if (now >= since + OWNER_TIMEOUT) {
-      silent.insert(session.owner);
+      timed_out.insert(session.owner);
     }
   }
-  return silent;
+  return timed_out;
 }
 
 const char* relayed_sessions::link_failure_reason(const relayed_session& session,
                                                   const owner_states& owners, common::Instant now) {
-  if (!session.is_accepted && now >= session.opened + ACCEPT_LIMIT) {
+  if (!session.is_accepted && now >= session.opened + ACCEPT_TIMEOUT) {
     return "not accepted in time";
   }
-  const bool untouched = !session.is_accepted && session.commands == 0;
+  const bool may_retry = !session.is_accepted && session.commands == 0;
   const bool given_up = owners.timed_out.contains(session.owner) ||
-                        (untouched && owners.unreachable.contains(session.owner));
-  return given_up ? NOT_HEARD : nullptr;
+                        (may_retry && owners.unreachable.contains(session.owner));
+  return given_up ? OWNER_NOT_REACHABLE : nullptr;
 }
 
 const char* relayed_sessions::idle_end_reason(const relayed_session& session,
@@ -376,7 +380,7 @@
     return "the owner stops";
   }
   if (owners.unreachable.contains(session.owner)) {
-    return NOT_HEARD;
+    return OWNER_NOT_REACHABLE;
   }
   return session.is_on_former_owner(now) ? "owned by other daemons" : nullptr;
 }
@@ -385,7 +389,7 @@
   if (now < this->next_former_check) {
     return;
   }
-  this->next_former_check = now + FORMER_INTERVAL;
+  this->next_former_check = now + FORMER_OWNER_CHECK_INTERVAL;
   this->any_on_former_owner = false;
   for (auto& [number, session] : this->sessions) {
     if (this->roles.owns(session.service, session.owner)) {
@@ -404,8 +408,8 @@
   if (!session.disallowed_since) {
     return false;
   }
-  const bool waits = session.in_flight.empty();
-  return now >= *session.disallowed_since + (waits ? MOVE_LIMIT : MOVE_DEADLINE);
+  const bool none_in_flight = session.in_flight.empty();
+  return now >= *session.disallowed_since + (none_in_flight ? MOVE_LIMIT : MOVE_DEADLINE);
 }
 
 std::size_t relayed_sessions::on_regions_changed(common::Instant now) {
@@ -431,26 +435,26 @@
     return;
   }
   this->any_misplaced = false;
-  std::vector<session_number> early;
+  std::vector<session_number> unaccepted_sessions;
   std::vector<session_number> ending;
   for (const auto& [number, session] : this->sessions) {
     if (!session.misplaced()) {
       continue;
     }
     if (!session.is_accepted && session.commands == 0) {
-      early.push_back(number);
+      unaccepted_sessions.push_back(number);
     } else if (must_move(session, now)) {
       ending.push_back(number);
     } else {
       this->any_misplaced = true;
     }
   }
-  for (const session_number number : early) {
+  for (const session_number number : unaccepted_sessions) {
     this->port.close_link(number);
     this->on_link_ended(number, {"its owner may not hold it"}, now);
   }
   this->counts.moved += ending.size();
-  this->end_sessions(ending, "their owners' region");
+  this->end_sessions(ending, "their owners may no longer serve them");
 }
 
 void relayed_sessions::tick(common::Instant now) {
@@ -460,35 +464,35 @@
   if (this->unaccepted == 0 && owners.all_available() && !this->any_on_former_owner) {
     return;
   }
-  std::vector<std::pair<session_number, const char*>> broken;
-  std::map<std::string, std::vector<session_number>> leaving;
+  std::vector<std::pair<session_number, const char*>> failed;
+  std::map<std::string, std::vector<session_number>> ending;
   for (const auto& [number, session] : this->sessions) {
-    if (const char* why = link_failure_reason(session, owners, now)) {
-      broken.emplace_back(number, why);
-    } else if (const char* leaves = idle_end_reason(session, owners, now)) {
-      leaving[leaves].push_back(number);
+    if (const char* failure = link_failure_reason(session, owners, now)) {
+      failed.emplace_back(number, failure);
+    } else if (const char* end_reason = idle_end_reason(session, owners, now)) {
+      ending[end_reason].push_back(number);
     }
   }
-  for (const auto& [number, reason] : broken) {
+  for (const auto& [number, reason] : failed) {
     this->port.close_link(number);
     this->on_link_ended(number, {reason}, now);
   }
-  for (const auto& [reason, numbers] : leaving) {
+  for (const auto& [reason, numbers] : ending) {
     this->end_sessions(numbers, reason.c_str());
   }
 }
 
 void relayed_sessions::start_closing(common::Instant now) {
   this->closing = true;
-  std::vector<session_number> resting;
+  std::vector<session_number> idle;
   for (const auto& [number, session] : this->sessions) {
-    // Ended by the next tick, within 10 ms, a session that was just accepted loses its first
-    // command.
+    // The next tick follows within 10 ms. Ending a session that was just accepted would lose its
+    // first command.
     if (session.is_accepted && session.is_idle() && !session.awaits_first_command(now)) {
-      resting.push_back(number);
+      idle.push_back(number);
     }
   }
-  this->end_sessions(resting, STOPPING);
+  this->end_sessions(idle, STOPPING);
 }
 
 void relayed_sessions::close_idle(common::Instant now) {
--- a/src/relay/role_map.cc
+++ b/src/relay/role_map.cc
@@ -10,16 +10,16 @@
 namespace valvekeel::relay {
 namespace {
 
-constexpr const char* COORDINATION = "coordination";
-constexpr const char* OWNER_POOL = "owner pool";
-constexpr std::size_t GUEST_CONNECTIONS = 1;
-const std::vector<std::string> NOBODY;
-const std::map<std::string, std::vector<std::string>> NOBODY_ANYWHERE;
+constexpr const char* COORDINATOR_HASH_KEY = "coordination";
+constexpr const char* OWNER_POOL_HASH_KEY = "owner pool";
+constexpr std::size_t NON_OWNER_CONNECTIONS = 1;
+const std::vector<std::string> NO_OWNERS;
+const std::map<std::string, std::vector<std::string>> NO_OWNERS_BY_ZONE;
 
-/** @return the first of the members: large machines first, then by a hash that all daemons share.
- */
-std::vector<member> largest(const std::string& object, std::vector<member> among,
-                            std::size_t count) {
+/** @return the first members in order: large machines first, then by a hash that is the same on all
+ * daemons. */
+std::vector<member> select_largest(const std::string& object, std::vector<member> among,
+                                   std::size_t count) {
   std::vector<std::pair<std::tuple<std::uint32_t, std::uint64_t, std::string>, std::size_t>> order;
   for (std::size_t at = 0; at < among.size(); ++at) {
     const member& each = among[at];
@@ -35,10 +35,11 @@
   return first;
 }
 
-/** @return names by weighted rendezvous hashing: shares follow the machines' capacity, and the loss
- * of one member moves no other. */
-std::vector<std::string> ranked(const std::string& object, const std::vector<member>& among,
-                                std::size_t count) {
+/** @return names by weighted rendezvous hashing: shares are proportional to the machines' capacity,
+ * and the loss of one member moves no service between the others. */
+std::vector<std::string> select_by_rendezvous_hash(const std::string& object,
+                                                   const std::vector<member>& among,
+                                                   std::size_t count) {
   constexpr double HASH_RANGE = 18446744073709551616.0;  // of 64 bits
   std::vector<std::pair<double, std::string>> order;
   for (const member& each : among) {
@@ -67,28 +68,28 @@
   for (const member& each : this->live) {
     (each.store_connected ? connected : others).push_back(each);
   }
-  const std::vector<member> next =
-      largest(COORDINATION, this->live, this->policy.coordinators + this->policy.deputies);
+  const std::vector<member> next = select_largest(
+      COORDINATOR_HASH_KEY, this->live, this->policy.coordinators + this->policy.deputies);
   this->self_deputy = std::any_of(next.begin(), next.end(),
                                   [&](const member& each) { return each.name == this->self; });
   this->coordinator_names.clear();
   for (std::vector<member>* group : {&connected, &others}) {
     const std::size_t missing = this->policy.coordinators - this->coordinator_names.size();
-    for (member& each : largest(COORDINATION, std::move(*group), missing)) {
+    for (member& each : select_largest(COORDINATOR_HASH_KEY, std::move(*group), missing)) {
       this->coordinator_names.push_back(std::move(each.name));
     }
   }
 }
 
 std::size_t role_map::pool_size(const std::vector<member>& members) const {
-  std::vector<std::uint64_t> sums;  // of the capacity of the first ones
+  std::vector<std::uint64_t> sums;  // prefix sums of the capacities
   std::uint64_t total = 0;
   for (const member& each : members) {
     total += std::max<std::uint32_t>(1, each.capacity);
     sums.push_back(total);
   }
   const double wanted = this->policy.owner_pool_share * static_cast<double>(total);
-  // By doubling: a daemon more or less in the zone must not move services to other owners.
+  // Grows by doubling: one daemon more or less in the zone must not move services to other owners.
   std::size_t size = std::max<std::size_t>(1, this->policy.owner_pool);
   while (size < sums.size() && static_cast<double>(sums[size - 1]) < wanted) {
     size *= 2;
@@ -106,7 +107,7 @@
   }
   for (auto& [zone, members] : this->pools) {
     const std::size_t all = members.size();
-    members = largest(OWNER_POOL, std::move(members), all);
+    members = select_largest(OWNER_POOL_HASH_KEY, std::move(members), all);
     const std::size_t size = this->pool_size(members);
     members.resize(std::min(all, size + this->policy.pool_reserve));
     this->self_pool_candidate =
@@ -139,7 +140,8 @@
   roles.direct_connections = std::max<std::size_t>(1, shared / this->sharing_daemons);
   roles.is_direct =
       this->sharing_daemons <= 1 || this->becomes_direct(service, shared / this->sharing_daemons);
-  // One share is left to guests and to owners that have just ceased to be.
+  // One share is reserved for sessions on daemons that do not own the service, among them former
+  // owners.
   roles.owner_connections = std::max<std::size_t>(1, shared / (this->owner_count + 1));
   return roles;
 }
@@ -152,7 +154,7 @@
   }
   for (const auto& [zone, members] : this->pools) {
     std::vector<std::string>& of_zone = owners.by_zone[zone];
-    of_zone = ranked(service, members, this->policy.owners_per_zone);
+    of_zone = select_by_rendezvous_hash(service, members, this->policy.owners_per_zone);
     owners.all.insert(owners.all.end(), of_zone.begin(), of_zone.end());
   }
   owners.names.insert(owners.all.begin(), owners.all.end());
@@ -163,7 +165,7 @@
 bool role_map::owns_any(const std::string& daemon) const {
   const auto [found, added] = this->owns_any_cache.try_emplace(daemon, false);
   if (added) {
-    // Each service has some of a small pool: the first few show it.
+    // The pool is small and each service has owners from it, so the first few services suffice.
     found->second = std::any_of(
         this->services.begin(), this->services.end(),
         [&](const auto& each) { return this->owners_of(each.first).names.contains(daemon); });
@@ -182,10 +184,10 @@
   return this->watchers_cache;
 }
 
-bool role_map::update(std::vector<member> live, std::size_t sharing,
+bool role_map::update(std::vector<member> live, std::size_t sharing_daemons,
                       const std::map<std::string, std::uint32_t>& connections, bool may_be_direct) {
-  sharing = std::max<std::size_t>(1, sharing);
-  const bool same = this->is_computed && this->sharing_daemons == sharing &&
+  sharing_daemons = std::max<std::size_t>(1, sharing_daemons);
+  const bool same = this->is_computed && this->sharing_daemons == sharing_daemons &&
                     this->instance_connections == connections && this->live == live &&
                     this->may_be_direct == may_be_direct;
   if (same) {
@@ -193,7 +195,7 @@
   }
   this->is_computed = true;
   this->live = std::move(live);
-  this->sharing_daemons = sharing;
+  this->sharing_daemons = sharing_daemons;
   this->instance_connections = connections;
   this->may_be_direct = may_be_direct;
   this->is_meshed = this->sharing_daemons <= this->policy.most_meshed_daemons;
@@ -249,8 +251,8 @@
 }
 
 bool role_map::watches_any(const std::string& daemon) const {
-  const bool by_a_direct_service = !this->services.empty() && this->any_direct;
-  return this->is_meshed || by_a_direct_service || this->coordinates(daemon) ||
+  const bool any_direct_service = !this->services.empty() && this->any_direct;
+  return this->is_meshed || any_direct_service || this->coordinates(daemon) ||
          (this->pool_names.contains(daemon) && this->owns_any(daemon));
 }
 
@@ -258,22 +260,22 @@
                                                     const std::string& zone) const {
   const std::map<std::string, std::vector<std::string>>& by_zone = this->owners_by_zone(service);
   const auto owners = by_zone.find(zone);
-  return owners == by_zone.end() ? NOBODY : owners->second;
+  return owners == by_zone.end() ? NO_OWNERS : owners->second;
 }
 
 const std::map<std::string, std::vector<std::string>>& role_map::owners_by_zone(
     const std::string& service) const {
-  return this->find(service) == nullptr ? NOBODY_ANYWHERE : this->owners_of(service).by_zone;
+  return this->find(service) == nullptr ? NO_OWNERS_BY_ZONE : this->owners_of(service).by_zone;
 }
 
 const std::vector<std::string>& role_map::owners(const std::string& service) const {
-  return this->find(service) == nullptr ? NOBODY : this->owners_of(service).all;
+  return this->find(service) == nullptr ? NO_OWNERS : this->owners_of(service).all;
 }
 
-std::size_t role_map::connection_limit(const std::string& service, bool serves_guests) const {
+std::size_t role_map::connection_limit(const std::string& service, bool serves_sessions) const {
   const service_roles* roles = this->find(service);
   if (roles == nullptr) {
-    return GUEST_CONNECTIONS;
+    return NON_OWNER_CONNECTIONS;
   }
   if (roles->is_direct) {
     return roles->direct_connections;
@@ -281,7 +283,7 @@
   if (this->owns(service)) {
     return roles->owner_connections;
   }
-  return serves_guests || this->coordinates() ? GUEST_CONNECTIONS : 0;
+  return serves_sessions || this->coordinates() ? NON_OWNER_CONNECTIONS : 0;
 }
 
 }  // namespace valvekeel::relay
--- a/src/relay/role_map.h
+++ b/src/relay/role_map.h
@@ -1,13 +1,13 @@
 /**
- * @file Which daemon does what: who owns a service's connections, who coordinates.
+ * @file Assigns the roles of the daemons: the owners of each service, and the coordinators.
  *
- * A service's instances take fewer connections than a large deployment has daemons. There, a few
- * daemons of each zone own a service: they alone hold connections to its instances, and the others
+ * The instances of a service accept fewer connections than a large deployment has daemons. There, a
+ * few daemons of each zone own a service. Only they connect to its instances, and the other daemons
  * relay their callers' sessions to them. A few coordinators watch every service and replace
- * primaries. In a small deployment each daemon does everything.
+ * primaries. In a small deployment each daemon has all roles.
  *
- * Owns: the roles as worked out last. Invariant: the same live daemons and services give the same
- * roles on every daemon. Pure. Thread: its host's.
+ * Owns: the roles as last computed. Invariant: the same live daemons and services give the same
+ * roles on every daemon. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -31,116 +31,121 @@
   bool operator==(const member&) const = default;
 };
 
-/** From which size on daemons share their work out. */
+/** Sizes that decide how the daemons divide their work. */
 struct role_policy {
-  /** Up to so many daemons, all coordinate and tell each other everything at full pace. */
+  /** Up to so many daemons, all of them coordinate and exchange all state at the full rate. */
   std::size_t most_meshed_daemons = 16;
   std::size_t coordinators = 3;
-  /** Daemons that look whether the store is there when no coordinator reaches it. */
+  /** Daemons that check whether the store is reachable when no coordinator reaches it. */
   std::size_t deputies = 6;
   std::size_t owners_per_zone = 2;
-  /** Daemons of a zone among whom all services' owners are chosen: the coordinators exchange
-   * heartbeats with these alone, so their number must not grow with the zone's. Measured: a daemon
-   * of 0.12 cores serves 75 requests a second with a fifth of it. At least so many. */
+  /** Least number of daemons of a zone among which the owners of all services are chosen. The
+   * coordinators exchange heartbeats only with these, so this number must not grow with the zone. A
+   * daemon of 0.12 cores serves 75 requests a second with a fifth of its processor time. */
   std::size_t owner_pool = 8;
-  /** Share of a zone's processors that the pool has at least: owners serve what all daemons of the
-   * zone pass on. Measured with 300 daemons of 0.25 cores at 75 requests a second each: with 8 of
-   * 100 the owners' processors are spent and 0.29 is served, with 64 it is 0.99. */
+  /** Least share of a zone's processor capacity in the pool. Owners serve what all daemons of the
+   * zone forward. With 300 daemons of 0.25 cores at 75 requests a second each, 8 owners of 100
+   * daemons exhaust their processors and serve 29 % of the load, and 64 serve 99 %. */
   double owner_pool_share = 0.25;
-  /** Daemons of a zone that stand ready to join the pool: they are listed in the store beforehand,
-   * which they could not be while it is away. */
+  /** Daemons of a zone that are prepared to join the pool. They are listed in the store in advance,
+   * because they can't be added while it is unreachable. */
   std::size_t pool_reserve = 4;
-  /** Connections of an instance that no daemon's share contains. */
+  /** Connections of each instance that are left out of the daemons' shares. */
   std::uint32_t reserved_connections = 3;
-  /** Up to so many daemons may all connect to every instance: each handshake holds a slot for 12 to
-   * 32 ms on the users' sites, a hundred of them about a second of an instance's time. */
+  /** Up to so many daemons may all connect to every instance. Each handshake occupies a slot for 12
+   * to 32 ms, so a hundred of them take about a second of an instance's time. */
   std::size_t most_direct_daemons = 100;
-  /** Share of an instance's connections below which a service gets owners. */
+  /** Least number of connections to an instance per daemon. With fewer a service gets owners. */
   std::uint32_t least_direct_connections = 2;
-  /** The same for a service that has owners already, in a large deployment: all daemons connect at
-   * once then, so it must not change back for one daemon more. */
+  /** The same for a service that already has owners, in a large deployment. All daemons connect at
+   * once when it becomes direct, so one more daemon must not reverse that. */
   std::uint32_t direct_again_connections = 3;
 };
 
+/** The roles of all daemons, as computed from the live daemons and the services. */
 class role_map {
  public:
   role_map(std::string self, role_policy policy);
 
   /**
-   * Works the roles out.
+   * Computes the roles.
    *
-   * @param live         the daemons that are alive and not stopping, this one included
-   * @param sharing      number of daemons that may hold connections: those heard lately
-   * @param connections  what an instance takes, by service
-   * @param may_be_direct  false while others may be there of whom nothing is known yet
-   * @return true if something it depends on has changed
+   * @param live             the live daemons that are not stopping, including this one
+   * @param sharing_daemons  number of daemons that may have connections: those recently reachable
+   * @param connections      number of connections that an instance accepts, by service
+   * @param may_be_direct    false while there may be daemons that are not known yet
+   * @return true if an input has changed
    */
-  bool update(std::vector<member> live, std::size_t sharing,
+  bool update(std::vector<member> live, std::size_t sharing_daemons,
               const std::map<std::string, std::uint32_t>& connections, bool may_be_direct = true);
 
-  /** @return true once the roles were worked out. */
+  /** @return true once the roles have been computed. */
   bool computed() const { return this->is_computed; }
 
-  /** @return true if all daemons do everything. */
+  /** @return true if all daemons have all roles. */
   bool meshed() const { return this->is_meshed; }
 
+  /** @return true if the daemon, or this one, is a coordinator. */
   bool coordinates(const std::string& daemon) const;
   bool coordinates() const { return this->self_coordinates; }
 
-  /** @return the coordinators, first the one that acts for all. */
+  /** @return the coordinators; the first one acts for all. */
   const std::vector<std::string>& coordinators() const { return this->coordinator_names; }
 
-  /** @return true if every daemon connects to the service's instances by itself. */
+  /** @return true if every daemon connects to the service's instances itself. */
   bool is_direct(const std::string& service) const;
 
+  /** @return true if the daemon, or this one, owns the service. Every daemon owns a direct service.
+   */
   bool owns(const std::string& service, const std::string& daemon) const;
   bool owns(const std::string& service) const;
 
-  /** @return true if the daemon forms an opinion about the service's instances. */
+  /** @return true if the daemon evaluates the state of the service's instances. */
   bool watches(const std::string& service, const std::string& daemon) const;
 
-  /** @return the owners in a zone, in the order of their rank. */
+  /** @return the owners in a zone by rank. */
   const std::vector<std::string>& owners_in(const std::string& service,
                                             const std::string& zone) const;
 
-  /** @return the owners by zone; nobody where every daemon connects by itself. */
+  /** @return the owners by zone; none if every daemon connects itself. */
   const std::map<std::string, std::vector<std::string>>& owners_by_zone(
       const std::string& service) const;
 
-  /** @return the owners of all zones. */
+  /** @return the owners in all zones. */
   const std::vector<std::string>& owners(const std::string& service) const;
 
-  /** @return true if the daemon owns some service, or coordinates. */
+  /** @return true if the daemon owns some service or coordinates. */
   bool watches_any(const std::string& daemon) const;
   bool watches_any() const { return this->self_watches; }
 
-  /** @return of how many services the owners were worked out since the last change. */
+  /** @return the number of services whose owners were computed since the last change. */
   std::size_t computed_services() const { return this->owners_cache.size(); }
 
-  /** @return true if this daemon is among the first to coordinate if the coordinators can't. */
+  /** @return true if this daemon is among the next to coordinate if the coordinators fail. */
   bool is_deputy() const { return this->self_deputy; }
 
-  /** @return true if this daemon is in a pool of owners, or among the next to join one. */
+  /** @return true if this daemon is in a pool of owners or among the next to join it. */
   bool is_pool_candidate() const { return this->self_pool_candidate; }
 
-  /** @return all daemons that own some service or coordinate; empty while all do everything. Works
-   * out the owners of all services. */
+  /** @return all daemons that own some service or coordinate; empty before the first update.
+   * Computes the owners of all services. */
   const std::unordered_set<std::string>& watchers() const;
 
   /**
-   * @param serves_guests  sessions of the service run here although this daemon doesn't own it
-   * @return how many connections to an instance of the service this daemon may hold
+   * @param serves_sessions  true if sessions of the service run here although this daemon does not
+   *                         own it
+   * @return the number of connections that this daemon may have to each instance of the service
    */
-  std::size_t connection_limit(const std::string& service, bool serves_guests) const;
+  std::size_t connection_limit(const std::string& service, bool serves_sessions) const;
 
  private:
-  /** Roles around one service; no owners if it is direct. */
+  /** Connection limits of one service. It has no owners if it is direct. */
   struct service_roles {
     std::size_t direct_connections = 1;
     std::size_t owner_connections = 1;
     bool is_direct = true;
   };
-  /** Who owns one service. */
+  /** The owners of one service. */
   struct service_owners {
     bool self_owns = false;
     std::map<std::string, std::vector<std::string>> by_zone;
@@ -150,18 +155,19 @@
   using members_by_zone = std::map<std::string, std::vector<member>>;
 
   void choose_coordinators();
-  /** @return how many of a zone's daemons, the largest of which come first, are its pool. */
+  /** @return the size of a zone's pool. The members are ordered, the largest first. */
   std::size_t pool_size(const std::vector<member>& members) const;
   void choose_pools();
   service_roles roles_of(const std::string& service, std::uint32_t most_connections) const;
   bool becomes_direct(const std::string& service, std::size_t share) const;
   const service_roles* find(const std::string& service) const;
   /**
-   * Works out who owns a service, once for each state of the deployment: most daemons ask for few.
-   * Of 1,000 services the owners of all take 24.9 ms, a fifth of a second of a small machine.
+   * Computes the owners of a service on demand, and caches them until the next update. Most daemons
+   * need those of few services. The owners of all of 1,000 services take 24.9 ms, or a fifth of a
+   * second on a small machine.
    */
   const service_owners& owners_of(const std::string& service) const;
-  /** @return true if the daemon, one of a pool, owns some service. */
+  /** @return true if the daemon, which is in a pool, owns some service. */
   bool owns_any(const std::string& daemon) const;
 
   std::string self;
@@ -180,9 +186,9 @@
   std::vector<std::string> coordinator_names;
   members_by_zone pools;
   std::unordered_set<std::string> pool_names;
-  std::size_t owner_count = 0;  // of each service that is not direct
+  std::size_t owner_count = 0;  // number of owners of each service that is not direct
   std::unordered_map<std::string, service_roles> services;
-  // Worked out when asked for; empty after an update.
+  // Computed on demand; cleared by an update.
   mutable std::unordered_map<std::string, service_owners> owners_cache;
   mutable std::unordered_map<std::string, bool> owns_any_cache;
   mutable std::unordered_set<std::string> watchers_cache;
--- a/src/relay_link/owner_link.cc
+++ b/src/relay_link/owner_link.cc
@@ -8,12 +8,12 @@
 namespace valvekeel::relay_link {
 namespace {
 
-/** Longest time that bytes stay unacknowledged before the owner counts as lost. */
+/** Time for which sent bytes may stay unacknowledged before the owner counts as lost. */
 constexpr unsigned USER_TIMEOUT_MS = 2000;
 
 }  // namespace
 
-/** Outlives the link while a handler runs. */
+/** State shared with the handlers of the connection. It outlives the link while a handler runs. */
 struct owner_link::shared_state : std::enable_shared_from_this<shared_state> {
   std::shared_ptr<net::Stream> stream;
   std::unique_ptr<host::InstanceCodec> codec;
@@ -49,13 +49,13 @@
       if (std::holds_alternative<host::InstanceAccepted>(message)) {
         this->events->on_accepted();
       } else if (std::holds_alternative<host::InstanceRejected>(message)) {
-        // The error goes to the caller as it is; the owner closes then.
+        // The error has been forwarded unchanged. The owner closes the connection next.
         this->events->on_rejected();
       } else if (const auto* reply = std::get_if<model::Reply>(&message)) {
         this->events->on_answer(*reply);
       } else if (std::holds_alternative<host::InstanceFault>(message)) {
         this->events->on_read(false);
-        this->end("the owner sent what can't be read");
+        this->end("the owner sent an invalid message");
         return;
       }
     }
@@ -87,21 +87,21 @@
 void owner_link::open(const common::Endpoint& owner, std::chrono::microseconds timeout,
                       std::string first) {
   this->state->unsent = std::move(first);
-  const auto kept = this->state;
-  kept->stream->Connect(
+  const auto shared = this->state;
+  shared->stream->Connect(
       owner, timeout,
-      [kept] {
-        if (kept->closed) {
+      [shared] {
+        if (shared->closed) {
           return;
         }
-        kept->connected = true;
-        kept->stream->Start([kept](std::string_view bytes) { kept->process_bytes(bytes); },
-                            [kept] { kept->end(kept->stream->EndReason()); });
-        kept->stream->Send(std::exchange(kept->unsent, {}));
+        shared->connected = true;
+        shared->stream->Start([shared](std::string_view bytes) { shared->process_bytes(bytes); },
+                              [shared] { shared->end(shared->stream->EndReason()); });
+        shared->stream->Send(std::exchange(shared->unsent, {}));
       },
-      [kept](net::ConnectFault fault) {
-        kept->end(fault == net::ConnectFault::kRefused ? "not connected: refused"
-                                                       : "not connected: timed out");
+      [shared](net::ConnectFault fault) {
+        shared->end(fault == net::ConnectFault::kRefused ? "not connected: refused"
+                                                         : "not connected: timed out");
       });
 }
 
--- a/src/relay_link/owner_link.h
+++ b/src/relay_link/owner_link.h
@@ -1,11 +1,11 @@
 /**
- * @file The connection over which a relayed session reaches its owner.
+ * @file The connection that relays a caller's session to its owner.
  *
- * Bytes of the caller go to the owner as they are, and the owner's come back; on the way back they
- * are also read, to know when the session rests.
+ * It forwards the caller's bytes to the owner and the owner's bytes to the caller, both unchanged.
+ * It also decodes the owner's bytes, to detect when the session is idle.
  *
- * Owns: the connection. Invariant: after close no method of the events is called. Thread: the event
- * loop's.
+ * Owns: the connection. Invariant: no event is reported after close. To be used on the thread of
+ * the event loop.
  */
 #pragma once
 
@@ -21,39 +21,42 @@
 
 namespace valvekeel::relay_link {
 
-/** Takes what comes from the owner. */
+/** Receives the events of a link to an owner. */
 class owner_events {
  public:
   virtual ~owner_events() = default;
 
+  /** The owner accepted the session. */
   virtual void on_accepted() = 0;
 
-  /** The owner turned the caller away; its error is among the bytes. */
+  /** The owner rejected the caller. Its error is among the bytes. */
   virtual void on_rejected() = 0;
+  /** The owner answered the oldest command. */
   virtual void on_answer(const model::Reply& reply) = 0;
 
-  /** The owner asks to end the session as it rests. */
+  /** The owner asks to end the session once it is idle. */
   virtual void on_end_request() = 0;
 
-  /** Bytes for the caller; they come before the events that they stand for. */
+  /** Bytes for the caller. They are reported before the events decoded from them. */
   virtual void on_bytes(std::string_view bytes) = 0;
 
   /**
-   * All that was read at once has been passed back.
+   * All bytes of one read have been forwarded.
    *
-   * @param between_messages  it ends with a whole message
+   * @param between_messages  true if they end with a complete message
    */
   virtual void on_read(bool between_messages) = 0;
 
   /**
-   * The connection ended, or could not be opened.
+   * The connection ended or could not be opened.
    *
-   * @param reason  in words for a log
-   * @param was_open  false: nothing was sent to the owner
+   * @param reason    text for the log
+   * @param was_open  false if nothing was sent to the owner
    */
   virtual void on_ended(const std::string& reason, bool was_open) = 0;
 };
 
+/** A connection to an owner for one relayed session. */
 class owner_link {
  public:
   owner_link(asio::io_context& loop, std::unique_ptr<host::InstanceCodec> codec,
@@ -62,14 +65,16 @@
   owner_link(const owner_link&) = delete;
   owner_link& operator=(const owner_link&) = delete;
 
-  /** Connects and sends the first bytes. */
+  /** Connects to the owner and sends the first bytes. */
   void open(const common::Endpoint& owner, std::chrono::microseconds timeout, std::string first);
 
+  /** Sends bytes of the caller, or queues them until the connection is open. */
   void send(std::string_view bytes);
 
-  /** A command was among the bytes sent: an answer will come. */
+  /** To be called when the bytes sent contain a command: the owner will answer it. */
   void expect_answer();
 
+  /** Closes the connection without reporting an event. */
   void close();
 
  private:
--- a/tests/relay/role_map_test.cc
+++ b/tests/relay/role_map_test.cc
@@ -6,7 +6,7 @@
 namespace valvekeel::relay {
 namespace {
 
-/** @return so many daemons in three zones, all with the store. */
+/** @return so many daemons in three zones, all connected to the store. */
 std::vector<member> daemons(std::size_t count) {
   std::vector<member> all;
   for (std::size_t number = 0; number < count; ++number) {
@@ -15,7 +15,7 @@
   return all;
 }
 
-role_map made(const std::string& self, std::size_t count, std::uint32_t connections) {
+role_map make_roles(const std::string& self, std::size_t count, std::uint32_t connections) {
   role_map roles(self, {});
   roles.update(daemons(count), count, {{"ledger", connections}});
   return roles;
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-TEST_CASE("In a small deployment each daemon does everything", "[relay]") {
-  const role_map roles = made("daemon-1", 6, 34);
+TEST_CASE("In a small deployment each daemon has all roles", "[relay]") {
+  const role_map roles = make_roles("daemon-1", 6, 34);
   CHECK(roles.meshed());
   CHECK(roles.is_direct("ledger"));
   CHECK(roles.coordinates("daemon-5"));
@@ -32,14 +32,14 @@
   CHECK(roles.connection_limit("ledger", false) == 5);
 }
 
-TEST_CASE("Daemons that outnumber the connections leave them to owners", "[relay]") {
-  // Found on the grown site: 67 daemons before 39 connections opened one each, and were reset.
+TEST_CASE("In a deployment with more daemons than connections only owners connect", "[relay]") {
+  // If 67 daemons open a connection each to an instance that accepts 39, the others are reset.
   const std::size_t count = 67;
   const std::uint32_t most = 39;
   std::size_t total = 0;
   std::set<std::string> owners;
   for (const member& each : daemons(count)) {
-    const role_map roles = made(each.name, count, most);
+    const role_map roles = make_roles(each.name, count, most);
     total += roles.connection_limit("ledger", false);
     if (roles.owns("ledger")) {
       owners.insert(each.name);
@@ -47,7 +47,7 @@
   }
   CHECK(total <= most);
   CHECK(owners.size() == 6);
-  const role_map roles = made("daemon-0", count, most);
+  const role_map roles = make_roles("daemon-0", count, most);
   for (const std::string zone : {"zone-0", "zone-1", "zone-2"}) {
     CHECK(roles.owners_in("ledger", zone).size() == 2);
   }
@@ -57,14 +57,14 @@
   }());
 }
 
-TEST_CASE("A service whose instances take connections enough stays direct", "[relay]") {
-  const role_map roles = made("daemon-1", 68, 225);
+TEST_CASE("A service whose instances accept enough connections stays direct", "[relay]") {
+  const role_map roles = make_roles("daemon-1", 68, 225);
   CHECK_FALSE(roles.meshed());
   CHECK(roles.is_direct("ledger"));
   CHECK(roles.connection_limit("ledger", false) == 3);
 }
 
-TEST_CASE("Three daemons coordinate, those with the store first", "[relay]") {
+TEST_CASE("Three daemons coordinate, those connected to the store first", "[relay]") {
   std::vector<member> all = daemons(40);
   role_map roles("daemon-1", {});
   roles.update(all, 40, {});
@@ -84,10 +84,11 @@
   CHECK(roles.coordinators() == before);
 }
 
-TEST_CASE("Who neither owns nor coordinates holds no connection but for guests", "[relay]") {
+TEST_CASE("A daemon that neither owns nor coordinates connects only for sessions that run on it",
+          "[relay]") {
   std::size_t idle = 0;
   for (const member& each : daemons(67)) {
-    const role_map roles = made(each.name, 67, 39);
+    const role_map roles = make_roles(each.name, 67, 39);
     const bool watches = roles.watches("ledger", each.name);
     CHECK((roles.connection_limit("ledger", false) > 0) == watches);
     CHECK(roles.connection_limit("ledger", true) >= 1);
@@ -96,7 +97,7 @@
   CHECK(idle >= 58);
 }
 
-TEST_CASE("The loss of an owner makes another the owner and moves no other", "[relay]") {
+TEST_CASE("The loss of an owner adds one new owner and moves no other", "[relay]") {
   role_map roles("daemon-0", {});
   std::vector<member> all = daemons(60);
   roles.update(all, 60, {{"ledger", 39}});
@@ -110,8 +111,8 @@
 }
 
 TEST_CASE("Owners of all services come from a few large daemons of each zone", "[relay]") {
-  // Found on the large site: with owners among all 295 daemons a coordinator would exchange
-  // heartbeats with nearly all of them.
+  // With owners among all 295 daemons a coordinator would exchange heartbeats with nearly all of
+  // them.
   std::vector<member> all = daemons(180);
   for (std::size_t number = 0; number < all.size(); ++number) {
     all[number].capacity = number % 20 < 3 ? 500 : 120;
@@ -131,8 +132,8 @@
   }
 }
 
-TEST_CASE("One daemon more or less does not turn a service from owners to all daemons", "[relay]") {
-  // Logwell's large site: 600 connections and 295 daemons, two each; with 299 the share is one.
+TEST_CASE("One daemon more or less does not change a service from owned to direct", "[relay]") {
+  // With 600 connections the share of each of 295 daemons is two, and of each of 299 one.
   const std::map<std::string, std::uint32_t> services = {{"ledger", 600}};
   role_map roles("daemon-0", {});
   for (const std::size_t count : {295, 299, 295, 298, 199}) {
@@ -141,16 +142,16 @@
   }
 }
 
-TEST_CASE("A service does without owners only once all daemons are known", "[relay]") {
-  // Found on the large site: after a loss of power each daemon knew a third of the others at first,
-  // and took the share of three.
+TEST_CASE("A service becomes direct only once all daemons are known", "[relay]") {
+  // After a loss of power each daemon knows only a third of the others at first, and would take the
+  // share of three.
   const std::map<std::string, std::uint32_t> services = {{"ledger", 225}};
   role_map roles("daemon-0", {});
   roles.update(daemons(40), 40, services, false);
   CHECK_FALSE(roles.is_direct("ledger"));
   roles.update(daemons(68), 68, services, true);
   CHECK(roles.is_direct("ledger"));
-  // Two each are enough to go on with.
+  // A direct service stays direct with two connections each.
   roles.update(daemons(90), 90, services, true);
   CHECK(roles.is_direct("ledger"));
   roles.update(daemons(112), 112, services, true);
@@ -159,7 +160,8 @@
   CHECK_FALSE(roles.is_direct("ledger"));
 }
 
-TEST_CASE("Deputies follow the coordinators in order, whoever has the store", "[relay]") {
+TEST_CASE("Deputies follow the coordinators in rank, whoever is connected to the store",
+          "[relay]") {
   std::vector<member> all = daemons(60);
   std::size_t deputies = 0;
   for (const member& each : all) {
@@ -171,9 +173,9 @@
   CHECK(deputies == 9);
 }
 
-TEST_CASE("With the daemons of a zone the owners grow that serve what these pass on", "[relay]") {
-  // Found by the sweep to 300 machines: 150 services stood with eight owners a zone, whose
-  // processors were spent while the others rested.
+TEST_CASE("The number of owners grows with the daemons of a zone", "[relay]") {
+  // With eight owners a zone for 150 services on 300 machines, the owners exhaust their processors
+  // while the other daemons are idle.
   constexpr std::size_t SERVICES = 150;
   std::map<std::string, std::uint32_t> connections;
   for (std::size_t number = 0; number < SERVICES; ++number) {
@@ -198,18 +200,18 @@
   }
 }
 
-TEST_CASE("A daemon more or less in a zone moves no service", "[relay]") {
+TEST_CASE("Daemons that leave a zone without being owners move no service", "[relay]") {
   const std::map<std::string, std::uint32_t> connections = {{"a", 34}, {"b", 34}, {"c", 34}};
   role_map roles("daemon-0", {});
   roles.update(daemons(300), 300, connections);
   const std::vector<std::string> before = roles.owners("a");
-  constexpr std::size_t GONE = 30;
+  constexpr std::size_t REMOVED = 30;
   std::vector<member> fewer;
-  std::size_t left_out = 0;
+  std::size_t removed = 0;
   for (const member& each : daemons(300)) {
     const bool owner = roles.watches_any(each.name);
-    if (!owner && left_out < GONE) {
-      ++left_out;
+    if (!owner && removed < REMOVED) {
+      ++removed;
     } else {
       fewer.push_back(each);
     }
@@ -218,7 +220,7 @@
   CHECK(roles.owners("a") == before);
 }
 
-TEST_CASE("Who owns no service works out the owners of none until it is asked", "[relay]") {
+TEST_CASE("A daemon that owns no service computes owners only on demand", "[relay]") {
   constexpr std::size_t DAEMONS = 300;
   constexpr std::size_t SERVICES = 1'000;
   std::map<std::string, std::uint32_t> connections;
--- a/tests/relay_link/owner_link_test.cc
+++ b/tests/relay_link/owner_link_test.cc
@@ -15,11 +15,11 @@
 constexpr std::chrono::milliseconds TIMEOUT{300};
 constexpr std::chrono::seconds LIMIT{5};
 
-/** What was seen of an owner. */
-struct record {
-  bool declined = false;
+/** The events reported by a link. */
+struct recorded_events {
+  bool rejected = false;
   bool accepted = false;
-  int goodbyes = 0;
+  int end_requests = 0;
   bool ended = false;
   bool was_open = false;
   bool between_messages = true;
@@ -29,11 +29,11 @@
 
 class recording_events : public owner_events {
  public:
-  explicit recording_events(record& seen) : seen(seen) {}
+  explicit recording_events(recorded_events& seen) : seen(seen) {}
   void on_accepted() override { this->seen.accepted = true; }
-  void on_rejected() override { this->seen.declined = true; }
+  void on_rejected() override { this->seen.rejected = true; }
   void on_answer(const model::Reply& reply) override { this->seen.answers.push_back(reply); }
-  void on_end_request() override { ++this->seen.goodbyes; }
+  void on_end_request() override { ++this->seen.end_requests; }
   void on_bytes(std::string_view bytes) override { this->seen.bytes += bytes; }
   void on_read(bool between_messages) override { this->seen.between_messages = between_messages; }
   void on_ended(const std::string&, bool was_open) override {
@@ -42,15 +42,15 @@
   }
 
  private:
-  record& seen;
+  recorded_events& seen;
 };
 
-/** An owner that answers each first byte string with what the test says. */
+/** A link to an owner that sends the given answer to the first bytes and closes at the next. */
 struct fixture {
   explicit fixture(std::string answer)
       : answer(std::move(answer)), listener(loop, [this](asio::ip::tcp::socket socket) {
           this->stream = std::make_shared<net::Stream>(this->loop, std::move(socket));
-          this->stream->Start([this](std::string_view bytes) { this->take(bytes); }, [] {});
+          this->stream->Start([this](std::string_view bytes) { this->on_bytes(bytes); }, [] {});
         }) {
     REQUIRE(this->listener.Listen({"127.0.0.1", 0}));
     this->link =
@@ -58,8 +58,8 @@
                                      std::make_unique<recording_events>(this->seen));
   }
 
-  void take(std::string_view bytes) {
-    this->heard += bytes;
+  void on_bytes(std::string_view bytes) {
+    this->received += bytes;
     if (!this->answer.empty()) {
       this->stream->Send(std::exchange(this->answer, {}));
     } else {
@@ -80,35 +80,37 @@
   std::string answer;
   net::Listener listener;
   std::shared_ptr<net::Stream> stream;
-  std::string heard;
-  record seen;
+  std::string received;
+  recorded_events seen;
   std::unique_ptr<owner_link> link;
 };
 
 }  // namespace
 
-TEST_CASE("Answers to commands that were passed on are seen and passed back", "[relay_link]") {
-  // Found by grown noms trouble-2 (LOST): no answer was counted, so that no relayed session ever
-  // seemed to rest, and a planned stop cut them off.
+TEST_CASE("Answers to forwarded commands are reported and forwarded to the caller",
+          "[relay_link]") {
+  // If the answers are not counted, a relayed session never seems idle, and a planned stop cuts it
+  // off.
   const std::string answer = "READY I -\r\nROW x\r\nCOMPLETE 1.a\r\nREADY T 3.12\r\n";
   fixture test(answer);
   test.link->expect_answer();
   test.link->open({"127.0.0.1", test.listener.Port()}, TIMEOUT, "first ");
   test.link->send("second");
   REQUIRE(test.run_until([&] { return !test.seen.answers.empty(); }));
-  CHECK(test.heard == "first second");
+  CHECK(test.received == "first second");
   CHECK(test.seen.accepted);
   CHECK(test.seen.answers.front().state == model::TransactionState::kOpen);
   CHECK(test.seen.bytes == answer);
   CHECK_FALSE(test.seen.ended);
 }
 
-TEST_CASE("It is told whether what was passed back ends with a whole message", "[relay_link]") {
-  struct broken_off {
+TEST_CASE("The link reports whether the forwarded bytes end with a complete message",
+          "[relay_link]") {
+  struct truncation {
     std::string answer;
     bool between_messages;
   };
-  const std::vector<broken_off> cases = {
+  const std::vector<truncation> cases = {
       {"READY I -\r\n", true},
       {"READY I -\r\nROW x\r\n", false},
       {"READY I -\r\nROW x\r\nCOMPLETE 1.a\r\n", false},
@@ -116,7 +118,7 @@
       {"READY I -\r\nROW x\r\nCOMPLETE 1.a\r\nREADY I 3.12\r\nROW", false},
       {"READY I -\r\nCOMPLETE 1.a\r\nREADY I 3.12\r\nCOMPLETE 1.b\r\n", false},
   };
-  for (const broken_off& each : cases) {
+  for (const truncation& each : cases) {
     CAPTURE(each.answer);
     fixture test(each.answer);
     test.link->expect_answer();
@@ -124,35 +126,35 @@
     test.link->open({"127.0.0.1", test.listener.Port()}, TIMEOUT, "first");
     REQUIRE(test.run_until([&] { return test.seen.bytes == each.answer; }));
     CHECK(test.seen.between_messages == each.between_messages);
-    test.link->send("second");  // the owner closes
+    test.link->send("second");  // the owner closes the connection
     REQUIRE(test.run_until([&] { return test.seen.ended; }));
     CHECK(test.seen.was_open);
   }
 }
 
-TEST_CASE("An owner's goodbye is told and not passed back", "[relay_link]") {
+TEST_CASE("An owner's request to end the session is reported and not forwarded", "[relay_link]") {
   const std::string before = "READY I -\r\n";
   const std::string after = "ROW a\x04z\r\nCOMPLETE 1.a\r\nREADY I 3.12\r\n";
   fixture test(before + relay::END_REQUEST + after);
   test.link->expect_answer();
   test.link->open({"127.0.0.1", test.listener.Port()}, TIMEOUT, "first");
   REQUIRE(test.run_until([&] { return !test.seen.answers.empty(); }));
-  CHECK(test.seen.goodbyes == 1);
+  CHECK(test.seen.end_requests == 1);
   CHECK(test.seen.bytes == before + after);
   CHECK(test.seen.between_messages);
   CHECK_FALSE(test.seen.ended);
 }
 
-TEST_CASE("An owner's refusal goes to the caller", "[relay_link]") {
+TEST_CASE("An owner's rejection is forwarded to the caller", "[relay_link]") {
   const std::string answer = "ERROR DENIED unknown key\r\n";
   fixture test(answer);
   test.link->open({"127.0.0.1", test.listener.Port()}, TIMEOUT, "first");
-  REQUIRE(test.run_until([&] { return test.seen.declined; }));
+  REQUIRE(test.run_until([&] { return test.seen.rejected; }));
   CHECK(test.seen.bytes == answer);
   CHECK_FALSE(test.seen.accepted);
 }
 
-TEST_CASE("An answer to nothing ends the link", "[relay_link]") {
+TEST_CASE("An answer without a command ends the link", "[relay_link]") {
   fixture test("READY I -\r\nCOMPLETE 1.a\r\nREADY I 3.12\r\n");
   test.link->open({"127.0.0.1", test.listener.Port()}, TIMEOUT, "first");
   CHECK(test.run_until([&] { return test.seen.ended; }));
@@ -165,7 +167,7 @@
   CHECK_FALSE(test.seen.accepted);
 }
 
-TEST_CASE("Nothing is told of a link that was closed", "[relay_link]") {
+TEST_CASE("A closed link reports no events", "[relay_link]") {
   fixture test("READY I -\r\n");
   test.link->open({"127.0.0.1", test.listener.Port()}, TIMEOUT, "first");
   test.link->close();
@@ -174,7 +176,7 @@
   CHECK_FALSE(test.seen.ended);
 }
 
-TEST_CASE("An owner that nobody runs ends the link", "[relay_link]") {
+TEST_CASE("A refused connection ends the link", "[relay_link]") {
   fixture test("");
   const std::uint16_t port = test.listener.Port();
   test.listener.Close();
