--- a/src/relay/relayed_sessions.cc
+++ b/src/relay/relayed_sessions.cc
@@ -454,7 +454,7 @@
     this->on_link_ended(number, {"its owner may not hold it"}, now);
   }
   this->counts.moved += ending.size();
-  this->end_sessions(ending, "their owners may no longer serve them");
+  this->end_sessions(ending, "their owners must not serve them");
 }
 
 void relayed_sessions::tick(common::Instant now) {
--- a/src/relay_link/owner_link.cc
+++ b/src/relay_link/owner_link.cc
@@ -55,7 +55,7 @@
         this->events->on_answer(*reply);
       } else if (std::holds_alternative<host::InstanceFault>(message)) {
         this->events->on_read(false);
-        this->end("the owner sent an invalid message");
+        this->end("the owner sent invalid data");
         return;
       }
     }
--- a/src/relay_link/owner_link.h
+++ b/src/relay_link/owner_link.h
@@ -1,8 +1,9 @@
 /**
  * @file The connection that relays a caller's session to its owner.
  *
- * It forwards the caller's bytes to the owner and the owner's bytes to the caller, both unchanged.
- * It also decodes the owner's bytes, to detect when the session is idle.
+ * It forwards the caller's bytes to the owner and the owner's bytes to the caller. It removes only
+ * the owner's relay::END_REQUEST. It also decodes the owner's bytes, to detect when the session is
+ * idle.
  *
  * Owns: the connection. Invariant: no event is reported after close. To be used on the thread of
  * the event loop.
--- a/tests/relay/relayed_sessions_test.cc
+++ b/tests/relay/relayed_sessions_test.cc
@@ -195,7 +195,7 @@
   CHECK(test.port.opened.back() == test.far());
   test.sessions.on_accepted(NOT_ACCEPTED, NOW);
 
-  // Part of an answer over one link shows that the owner is alive.
+  // Part of an answer over one link shows that the owner is live.
   test.sessions.on_owner_bytes(BUSY_TOO, false, NOW + APART);
   test.sessions.tick(NOW + APART + TIMEOUT - common::Duration(1));
   CHECK(test.port.ended == 1);
