--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -26,7 +26,7 @@
 
 /// @return true if the session was accepted so recently that its first command may be on its way.
 bool AwaitsFirstCommand(const CallerSession& session, common::Instant now) {
-  return !session.received_command && now < session.started + relay::FIRST_COMMAND_TIME;
+  return !session.received_command && now < session.started + relay::FIRST_COMMAND_GRACE;
 }
 
 }  // namespace
--- a/src/proxy/lease_renewer.cc
+++ b/src/proxy/lease_renewer.cc
@@ -12,7 +12,7 @@
 
 bool LeaseRenewer::IsReader() const {
   // Without known roles, each daemon would consider itself the reader.
-  return roles_.known() &&
+  return roles_.computed() &&
          (roles_.coordinators().empty() || roles_.coordinators().front() == settings_.name);
 }
 
--- a/src/proxy/peer_table.cc
+++ b/src/proxy/peer_table.cc
@@ -78,7 +78,7 @@
   if (message.is_continuation) {
     AddMissing(before, peer.last.groups);
   }
-  peer.looks_for_hubs = membership::live_view::wants_introduction(message.view);
+  peer.looks_for_hubs = membership::live_view::is_discovery_request(message.view);
   peer.last.view = {};  // consumed by the membership
   peer.suspects_primary =
       std::any_of(peer.last.groups.begin(), peer.last.groups.end(),
--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -112,7 +112,7 @@
 void Proxy::CommandReceived(SessionNumber session, const CallerCommand& command,
                             common::Instant now) {
   if (session_relay_.Relays(session)) {
-    session_relay_.Sessions().command_sent(session, command.command.kind, now);
+    session_relay_.Sessions().on_command_sent(session, command.command.kind, now);
     return;
   }
   if (session_relay_.QueueCommand(session, command)) {
@@ -122,28 +122,28 @@
 }
 
 void Proxy::RelayAccepted(SessionNumber session, common::Instant now) {
-  session_relay_.Sessions().accepted(session, now);
+  session_relay_.Sessions().on_accepted(session, now);
 }
 
 void Proxy::RelayDeclined(SessionNumber session, common::Instant now) {
-  session_relay_.Sessions().declined(session, now);
+  session_relay_.Sessions().on_rejected(session, now);
 }
 
 void Proxy::RelayAnswered(SessionNumber session, model::TransactionState state,
                           common::Instant now) {
-  session_relay_.Sessions().answered(session, state, now);
+  session_relay_.Sessions().on_answered(session, state, now);
 }
 
 void Proxy::RelayEndRequested(SessionNumber session) {
-  session_relay_.Sessions().asked_to_end(session);
+  session_relay_.Sessions().on_end_requested(session);
 }
 
 void Proxy::RelayDataReceived(SessionNumber session, bool between_messages, common::Instant now) {
-  session_relay_.Sessions().owner_spoke(session, between_messages, now);
+  session_relay_.Sessions().on_owner_bytes(session, between_messages, now);
 }
 
 void Proxy::RelayEnded(SessionNumber session, const relay::link_end& end, common::Instant now) {
-  session_relay_.Sessions().link_ended(session, end, now);
+  session_relay_.Sessions().on_link_ended(session, end, now);
 }
 
 void Proxy::SessionClosed(SessionNumber session, common::Instant now) {
@@ -341,7 +341,7 @@
 }
 
 std::size_t Proxy::CountSharingDaemons(common::Instant now) const {
-  const std::size_t sharing = large_deployment_ ? membership_.live_within(kSharingAge, now)
+  const std::size_t sharing = large_deployment_ ? membership_.count_live_within(kSharingAge, now)
                                                 : peers_.CountReceivedWithin(kSharingAge, now) + 1;
   const bool just_started = started_at_ && now < *started_at_ + kSharingAge;
   return std::max(sharing, just_started ? catalog_.Daemons().size() : std::size_t{1});
@@ -352,7 +352,7 @@
     return ReachableMembers(now);
   }
   std::vector<relay::member> members;
-  for (const membership::member& each : membership_.live()) {
+  for (const membership::member& each : membership_.live_daemons()) {
     if (!each.stopping) {
       members.push_back({each.name, each.zone, each.store_connected, each.capacity});
     }
@@ -419,7 +419,7 @@
 
 void Proxy::SetConnectionLimits(const std::set<std::string>& in_use) {
   for (const auto& [name, most] : connection_limits_) {
-    backends_.SetConnectionLimit(name, roles_.connections(name, in_use.contains(name)),
+    backends_.SetConnectionLimit(name, roles_.connection_limit(name, in_use.contains(name)),
                                  roles_.coordinates() || roles_.owns(name));
   }
 }
@@ -468,7 +468,7 @@
                 [&](const auto& each) { return !unowned.contains(each.first); });
   for (const std::string& service : unowned) {
     const auto since = unowned_services_since_.try_emplace(service, now).first;
-    if (now >= since->second + relay::GUEST_TIME) {
+    if (now >= since->second + relay::FORMER_OWNER_GRACE) {
       dispatcher_.EndIdleSessionsOfService(service, now >= since->second + kHandedOverSessionGrace,
                                            now);
     }
@@ -498,8 +498,8 @@
                                  : catalog_.DaemonsListed();
   }
   // Daemons that replace primaries need to know only those that may hold a lease.
-  return roles_.known() &&
-         (roles_.watches_any() || roles_.next_to_own() || serves_unowned_services_);
+  return roles_.computed() &&
+         (roles_.watches_any() || roles_.is_pool_candidate() || serves_unowned_services_);
 }
 
 bool Proxy::IsListedInStore() const {
@@ -514,7 +514,7 @@
   // In a large deployment hubs distribute the configuration and few daemons need the instances.
   // Otherwise all would fetch from the seeds at once.
   const bool needed_in_large =
-      without_instances && roles_.known() && roles_.watches_any() && !catalog_.Connected();
+      without_instances && roles_.computed() && roles_.watches_any() && !catalog_.Connected();
   const bool needed = large_deployment_
                           ? needed_in_large
                           : catalog_.Configuration().version == 0 || without_instances;
@@ -542,7 +542,7 @@
 bool Proxy::InstancesKnown() const {
   // A daemon that relays sessions needs to know only the owners.
   const bool relays = large_deployment_ && !roles_.meshed();
-  if (relays && !roles_.known()) {
+  if (relays && !roles_.computed()) {
     return false;
   }
   const auto& services = catalog_.Configuration().services;
@@ -570,7 +570,7 @@
 }
 
 common::Duration Proxy::TickPause() const {
-  const bool idle = large_deployment_ && roles_.known() && !roles_.meshed() &&
+  const bool idle = large_deployment_ && roles_.computed() && !roles_.meshed() &&
                     !roles_.watches_any() && !membership_.is_hub() && !stopping_since_ && ready_ &&
                     dispatcher_.SessionCount() == 0;
   return idle ? kIdleTick : kTick;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -133,7 +133,7 @@
 
   /// @return how many other daemons are live according to the local view.
   std::size_t CountOtherLiveDaemons(common::Instant now) const {
-    return large_deployment_ ? membership_.live().size() - 1 : peers_.LiveNames(now).size();
+    return large_deployment_ ? membership_.live_daemons().size() - 1 : peers_.LiveNames(now).size();
   }
 
  private:
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -89,10 +89,10 @@
 }
 
 bool Proxy::ReadsConfiguration(common::Instant now) const {
-  if (!large_deployment_ || membership_.is_hub() || (roles_.known() && roles_.meshed())) {
+  if (!large_deployment_ || membership_.is_hub() || (roles_.computed() && roles_.meshed())) {
     return true;
   }
-  if (roles_.known() && (roles_.coordinates() || roles_.is_deputy())) {
+  if (roles_.computed() && (roles_.coordinates() || roles_.is_deputy())) {
     return true;
   }
   const bool outdated =
@@ -148,21 +148,21 @@
     peer->send_interval = common::Duration(0);
   }
   partners_.clear();
-  const bool owner = roles_.known() && roles_.watches_any();
+  const bool owner = roles_.computed() && roles_.watches_any();
   for (const membership::member& each : membership_.partners()) {
     const bool to_hub = !membership_.is_hub();
     AddPartner(each.address, each.name,
                owner && to_hub ? settings_.owner_heartbeat_interval : settings_.view.hub_interval);
   }
-  if (roles_.known() && (roles_.meshed() || roles_.watches_any())) {
-    for (const membership::member& each : membership_.live()) {
+  if (roles_.computed() && (roles_.meshed() || roles_.watches_any())) {
+    for (const membership::member& each : membership_.live_daemons()) {
       const common::Duration interval = RoleHeartbeatInterval(each.name);
       if (each.name != settings_.name && interval.count() > 0) {
         AddPartner(each.address, each.name, interval);
       }
     }
   }
-  if (membership_.seeks(now)) {
+  if (membership_.needs_discovery(now)) {
     for (const common::Endpoint& seed : settings_.seed_peers) {
       if (seed != settings_.peer) {
         AddPartner(seed, "", kDiscoveryPause);
@@ -170,7 +170,7 @@
     }
   }
   for (Peer* peer : partners_) {
-    if (membership_.owes(peer->name, now)) {
+    if (membership_.has_pending_lists(peer->name, now)) {
       peer->next_heartbeat = now;
     }
   }
@@ -194,14 +194,15 @@
   ChooseConfigurationSource(now);
   // Hubs distribute the membership. The store's list is for daemons that replace primaries and for
   // those that reach no hub.
-  catalog_.SetDiscovering(!membership_.settled() || (roles_.known() && roles_.coordinates()));
+  catalog_.SetDiscovering(!membership_.is_complete() ||
+                          (roles_.computed() && roles_.coordinates()));
   membership_.set_self(ReachesStore(now), stopping_since_.has_value());
   membership_.update(now);
   LogMembershipChange();
 }
 
 void Proxy::LogMembershipChange() {
-  const membership::view_change& change = membership_.changed();
+  const membership::view_change& change = membership_.last_update_changes();
   if (change.hub_changed) {
     outbox_.Log("hub_changed", {{"acts", membership_.is_hub() ? "true" : "false"}});
   }
@@ -214,19 +215,19 @@
   }
   outbox_.Log("daemons_lost", {{"count", std::to_string(change.lost.size())},
                                {"daemons", names},
-                               {"told_by", change.source},
+                               {"told_by", change.reporting_hub},
                                {"hub", membership_.is_hub() ? "true" : "false"}});
 }
 
 void Proxy::ApplyMembershipMessage(const common::Endpoint& from, const PeerMessage& message,
                                    common::Instant now) {
-  large_deployment_ = large_deployment_ || message.view.large;
+  large_deployment_ = large_deployment_ || message.view.large_deployment;
   if (!large_deployment_) {
     return;
   }
-  membership_.take({message.name, message.zone, from, message.capacity, message.store_connected,
-                    message.stopping},
-                   message.view, message.interval, now);
+  membership_.apply_message({message.name, message.zone, from, message.capacity,
+                             message.store_connected, message.stopping},
+                            message.view, message.interval, now);
 }
 
 bool Proxy::IsHubListDue(const Peer& peer, common::Instant now) {
@@ -237,7 +238,7 @@
   if (!large_deployment_) {
     return catalog_.Connected();
   }
-  if (!roles_.known()) {
+  if (!roles_.computed()) {
     return false;
   }
   // A daemon that makes no calls can't report whether the store would answer. If all others
@@ -279,7 +280,7 @@
   if (large_deployment_) {
     message.view = membership_.message_for(peer.name, now);
     if (IsHubListDue(peer, now)) {
-      message.view.introduced = membership_.introduction(now);
+      message.view.known_hubs = membership_.known_hubs(now);
       peer.hubs_sent_at = now;
     }
     const bool partner = peer.send_interval.count() > 0;
@@ -309,7 +310,7 @@
     if (message.groups.size() >= (message.is_continuation ? kMostReports : most)) {
       PeerMessage next = WithoutGroups(message);
       next.view.lists.clear();
-      next.view.introduced.clear();
+      next.view.known_hubs.clear();
       next.is_continuation = true;
       peers_.FillHeader(peer, message, now);
       outbox_.Emit(SendPeerMessage{peer.address, std::move(message)});
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -52,7 +52,7 @@
   warm_up::hearing daemons;
   daemons.alive = LiveMembers(now).size();
   daemons.listed = catalog_.Daemons().size();
-  daemons.lately = large_deployment_ ? membership_.live_within(kReachableWithin, now)
+  daemons.lately = large_deployment_ ? membership_.count_live_within(kReachableWithin, now)
                                      : peers_.CountReceivedWithin(kReachableWithin, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.IsAlive(peer, now)) {
@@ -75,7 +75,7 @@
   warm_up::senders_by_service senders;
   for (const auto& [name, service] : catalog_.Configuration().services) {
     if (warm_up_.instances().warm_up_of(name) != nullptr) {
-      const bool all_send = roles_.meshed() || roles_.direct(name);
+      const bool all_send = roles_.meshed() || roles_.is_direct(name);
       senders[name] = all_send ? live : roles_.owners(name);
     }
   }
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -116,13 +116,13 @@
   return !regions_.active() || regions_.allows(database, admission_.tenant_of(key), zone);
 }
 
-bool SessionRelay::may_hold(relay::session_number session, const std::string& zone) const {
+bool SessionRelay::zone_may_serve(relay::session_number session, const std::string& zone) const {
   const StartRequest& start = relayed_starts_.at(session);
   return MayProcessIn(start.database, start.key, zone);
 }
 
 void SessionRelay::RegionsChanged(common::Instant now) {
-  const std::size_t moving = sessions_.regions_changed(now);
+  const std::size_t moving = sessions_.on_regions_changed(now);
   if (moving > 0) {
     outbox_.Log("relayed_sessions_moving", {{"sessions", std::to_string(moving)}});
   }
@@ -161,7 +161,7 @@
 void SessionRelay::SessionClosed(SessionNumber session) {
   awaiting_configuration_.erase(session);
   relayed_starts_.erase(session);
-  sessions_.caller_closed(session);
+  sessions_.on_caller_closed(session);
 }
 
 void SessionRelay::SetConfiguration(const model::Configuration* configuration,
@@ -207,16 +207,16 @@
     return false;
   }
   const common::Duration limit =
-      std::max(relay::OWNER_SILENCE, kMissedHeartbeats * peer->last.interval);
+      std::max(relay::OWNER_TIMEOUT, kMissedHeartbeats * peer->last.interval);
   return now < *peer->last_received_at + limit;
 }
 
-bool SessionRelay::alive(const std::string& daemon, common::Instant now) const {
+bool SessionRelay::is_reachable(const std::string& daemon, common::Instant now) const {
   // In a large deployment hubs receive the owners' heartbeats for all daemons.
   return membership_.find(daemon) != nullptr || HasRecentHeartbeat(daemon, now);
 }
 
-bool SessionRelay::stays(const std::string& daemon, common::Instant now) const {
+bool SessionRelay::is_available(const std::string& daemon, common::Instant now) const {
   const membership::member* member = membership_.find(daemon);
   if (member != nullptr) {
     return !member->stopping;
@@ -234,7 +234,7 @@
 
 void SessionRelay::close_link(relay::session_number session) { outbox_.Emit(CloseRelay{session}); }
 
-void SessionRelay::serve_here(relay::session_number session, common::Instant now) {
+void SessionRelay::serve_locally(relay::session_number session, common::Instant now) {
   const StartRequest start = relayed_starts_.at(session);
   relayed_starts_.erase(session);
   dispatcher_.SessionStarted(session, start.database, start.key, now);
@@ -250,23 +250,23 @@
   outbox_.Emit(AnswerCaller{session, reply, std::nullopt});
 }
 
-void SessionRelay::refuse(relay::session_number session, model::ErrorCode error,
-                          const std::string& text) {
+void SessionRelay::reject_caller(relay::session_number session, model::ErrorCode error,
+                                 const std::string& text) {
   relayed_starts_.erase(session);
   outbox_.Emit(CloseSession{session, true, error, text});
 }
 
-void SessionRelay::end_caller(relay::session_number session) {
+void SessionRelay::close_caller(relay::session_number session) {
   relayed_starts_.erase(session);
   outbox_.Emit(CloseSession{session});
 }
 
-void SessionRelay::note_ending(std::size_t sessions, const char* reason) {
+void SessionRelay::log_ending(std::size_t sessions, const char* reason) {
   outbox_.Log("relayed_sessions_ended",
               {{"sessions", std::to_string(sessions)}, {"reason", reason}});
 }
 
-void SessionRelay::note(const relay::relay_note& note) {
+void SessionRelay::log_session(const relay::relay_log_entry& note) {
   outbox_.Log(note.event,
               {{"session", std::to_string(note.session)},
                {"service", note.service},
@@ -274,7 +274,7 @@
                {"reason", note.reason},
                {"accepted", note.is_accepted ? "true" : "false"},
                {"unanswered", std::to_string(note.unanswered)},
-               {"told", note.is_told ? "true" : "false"},
+               {"told", note.is_answered ? "true" : "false"},
                {"in_transaction", note.in_transaction ? "true" : "false"},
                {"waited_ms", MillisecondsText(note.waited)}},
               LogLevel::kWarning);
