--- a/src/proxy/dispatcher_waiting.cc
+++ b/src/proxy/dispatcher_waiting.cc
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "proxy/dispatcher.h"
-#include "waiting/come_back.h"
+#include "waiting/retry_after.h"
 
 namespace valvekeel::proxy {
 namespace {
--- a/src/waiting/replay.cc
+++ b/src/waiting/replay.cc
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "common/stable_hash.h"
-#include "waiting/come_back.h"
+#include "waiting/retry_after.h"
 #include "waiting/service_queues.h"
 
 namespace valvekeel::waiting {
--- a/src/waiting/come_back.cc
+++ b/src/waiting/retry_after.cc
@@ -1,6 +1,6 @@
 // The time until the queue would take a caller, spread so that not all come at once.
 
-#include "waiting/come_back.h"
+#include "waiting/retry_after.h"
 
 #include <algorithm>
 
--- a/tests/proxy/dispatcher_waiting_test.cc
+++ b/tests/proxy/dispatcher_waiting_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "proxy/dispatcher.h"
-#include "waiting/come_back.h"
+#include "waiting/retry_after.h"
 
 namespace valvekeel::proxy {
 namespace {
--- a/tests/proxysim/evacuation_test.cc
+++ b/tests/proxysim/evacuation_test.cc
@@ -320,7 +320,7 @@
   day.world.RunUntil(kEvacuatedAt + kEvacuationLimit + seconds(2));
   CHECK_FALSE(day.LedElsewhere());  // no promotion without the store
   CHECK(day.late == 0);
-  // The time to come back differs from caller to caller (src/waiting/come_back.h).
+  // The time to come back differs from caller to caller (src/waiting/retry_after.h).
   CHECK(day.RefusedFor("no usable primary"));
   day.cluster.Store().faults = {};
   CHECK(day.UntilLedElsewhere() < kReplacedWithin);
--- a/tests/waiting/come_back_test.cc
+++ b/tests/waiting/retry_after_test.cc
@@ -1,6 +1,6 @@
 // When refused callers come back.
 
-#include "waiting/come_back.h"
+#include "waiting/retry_after.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
