--- a/src/operator/replay_command.cc
+++ b/src/operator/replay_command.cc
@@ -99,9 +99,9 @@
   }
   const waiting::trace& trace = common::ValueOf(parsed);
   const std::vector<Played> played = {
-      {"standing", waiting::replay(trace, waiting::policy::standing)},
+      {"standing", waiting::replay(trace, waiting::policy::baseline)},
       {"fair", waiting::replay(trace, waiting::policy::fair)}};
-  const auto missed = waiting::unmet(trace, played.back().result);
+  const auto missed = waiting::unmet_expectations(trace, played.back().result);
   if (format == OutputFormat::kJson) {
     json out = json::object();
     for (const Played& each : played) {
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -93,7 +93,7 @@
   }
   starting_queued_ = true;
   while (std::exchange(start_queued_again_, false)) {
-    for (const waiting::place& queued : queues_.order()) {
+    for (const waiting::queue_entry& queued : queues_.order()) {
       Session* session = FindSession(queued.number);
       if (now < session->operation->not_before) {
         continue;
@@ -101,7 +101,7 @@
       if (TryStart(*session, now)) {
         queues_.remove(session->number);
       } else {
-        queues_.set_for_room(session->number, session->operation->waits_only_for_slot);
+        queues_.set_waits_only_for_slot(session->number, session->operation->waits_only_for_slot);
       }
     }
   }
@@ -136,7 +136,7 @@
   const std::vector<Placement> placements = FindPlacements(session, now);
   if (placements.empty()) {
     operation.last_refusal = NeedsPrimary(session) ? "no usable primary" : "no fresh instance";
-    queues_.note_no_place(TargetOf(session), now);
+    queues_.on_no_instance(TargetOf(session), now);
     return false;
   }
   const bool all_avoided =
--- a/src/proxy/dispatcher_waiting.cc
+++ b/src/proxy/dispatcher_waiting.cc
@@ -33,7 +33,7 @@
   waiter.priority = operation.route.priority;
   waiter.target_latency = operation.route.target_latency;
   waiter.arrived = operation.arrived;
-  waiter.hold_until = QueueEnd(operation);
+  waiter.queue_deadline = QueueEnd(operation);
   const waiting::target target = TargetOf(session);
   waiter.needs = target.needs;
   queues_.add(target.service, waiter, operation.waits_only_for_slot);
@@ -42,13 +42,13 @@
 void Dispatcher::RecordNoFreeSlot(Session& session, std::size_t instances, common::Instant now) {
   // A read that was sent without an answer may have run; it is not refused early.
   session.operation->waits_only_for_slot = session.operation->resends == 0;
-  queues_.note_blocked(TargetOf(session), instances, now);
+  queues_.on_no_free_slot(TargetOf(session), instances, now);
 }
 
 void Dispatcher::RecordStart(const Session& session, common::Instant now) {
   const Operation& operation = *session.operation;
-  queues_.note_started(TargetOf(session),
-                       {session.number, operation.route.priority, operation.tenant}, now);
+  queues_.on_started(TargetOf(session),
+                     {session.number, operation.route.priority, operation.tenant}, now);
 }
 
 void Dispatcher::ReportOperation(const Session& session, const Operation& operation,
@@ -65,9 +65,9 @@
   reported.tenant = operation.tenant;
   reported.priority = operation.route.priority;
   reported.target_latency = operation.route.target_latency;
-  reported.hold = QueueEnd(operation) - operation.arrived;
+  reported.max_wait = QueueEnd(operation) - operation.arrived;
   reported.work = sent ? now - operation.sent : common::Duration(0);
-  load_observer_->note_operation(reported);
+  load_observer_->on_operation_ended(reported);
 }
 
 void Dispatcher::ReportCapacity(common::Instant now) {
@@ -84,9 +84,8 @@
     slots_at_primary[service] += groups_.UsablePrimary(service, now) == id ? limit : 0;
   }
   for (const auto& [service, count] : slots) {
-    load_observer_->note_capacity({now, service, waiting::need::any, count});
-    load_observer_->note_capacity(
-        {now, service, waiting::need::primary, slots_at_primary[service]});
+    load_observer_->on_capacity({now, service, waiting::need::any, count});
+    load_observer_->on_capacity({now, service, waiting::need::primary, slots_at_primary[service]});
   }
 }
 
@@ -94,14 +93,14 @@
   if (!settings_.early_refusal) {
     return;
   }
-  for (const waiting::hopeless& late : queues_.find_hopeless(now)) {
+  for (const waiting::late_waiter& late : queues_.find_late_waiters(now)) {
     Session* session = FindSession(late.number);
     const bool queued = session != nullptr && session->operation &&
                         session->operation->phase == OperationPhase::kQueued;
     if (!queued) {
       continue;  // it got a slot freed by another's refusal
     }
-    session->operation->expected_wait = late.likely_wait;
+    session->operation->expected_wait = late.expected_wait;
     ++counters_.refused_early;
     RefuseWithRetryAfter(*session, std::string(kRefusedEarly) + session->operation->last_refusal,
                          now);
@@ -112,7 +111,7 @@
   Operation& operation = *session.operation;
   ++counters_.refused_at_queue_deadline[operation.last_refusal];
   if (operation.waits_only_for_slot) {
-    operation.expected_wait = queues_.likely_wait(TargetOf(session), now);
+    operation.expected_wait = queues_.expected_wait(TargetOf(session), now);
   }
   RefuseWithRetryAfter(session, operation.last_refusal, now);
 }
@@ -125,10 +124,10 @@
   waiting::refused_attempt refused;
   refused.session = session.number;
   refused.since_first = now - *session.refused_since;
-  refused.hold = QueueEnd(operation) - operation.arrived;
+  refused.max_wait = QueueEnd(operation) - operation.arrived;
   refused.target_latency = operation.route.target_latency;
-  refused.likely_wait = operation.expected_wait;
-  const common::Duration pause = waiting::come_back(refused);
+  refused.expected_wait = operation.expected_wait;
+  const common::Duration pause = waiting::retry_after(refused);
   FinishWithError(session, model::ErrorCode::kBusy,
                   "retry_after_ms=" + Milliseconds(pause) + " " + reason, now);
 }
--- a/src/waiting/fair_queue.cc
+++ b/src/waiting/fair_queue.cc
@@ -8,26 +8,26 @@
 namespace valvekeel::waiting {
 namespace {
 
-place place_of(const waiter& of) {
-  place made;
+queue_entry place_of(const waiter& of) {
+  queue_entry made;
   made.priority = of.priority;
-  made.rank = of.tenant.empty() ? of.target_latency : of.hold_until;
+  made.rank = of.tenant.empty() ? of.target_latency : of.queue_deadline;
   made.arrived = of.arrived;
   made.number = of.number;
-  made.hold_until = of.hold_until;
+  made.queue_deadline = of.queue_deadline;
   made.needs = of.needs;
   return made;
 }
 
 /** @return true if a goes before b among the waiters of one tenant. */
-bool goes_before(const place& a, const place& b) {
+bool goes_before(const queue_entry& a, const queue_entry& b) {
   return std::tie(a.rank, a.arrived, a.number) < std::tie(b.rank, b.arrived, b.number);
 }
 
 /** @return true if a goes before b among the waiters of one priority. */
-bool starts_before(const place& a, const place& b) {
-  return std::tie(a.tag, a.hold_until, a.arrived, a.number) <
-         std::tie(b.tag, b.hold_until, b.arrived, b.number);
+bool starts_before(const queue_entry& a, const queue_entry& b) {
+  return std::tie(a.start_tag, a.queue_deadline, a.arrived, a.number) <
+         std::tie(b.start_tag, b.queue_deadline, b.arrived, b.number);
 }
 
 }  // namespace
@@ -46,29 +46,29 @@
 
 void fair_queue::add(const waiter& added) {
   flow& to = this->flow_of(this->levels[added.priority], added.tenant);
-  const place made = place_of(added);
+  const queue_entry made = place_of(added);
   to.waiters.insert(std::upper_bound(to.waiters.begin(), to.waiters.end(), made, goes_before),
                     made);
-  ++this->waiting;
+  ++this->waiter_count;
 }
 
 void fair_queue::remove(const waiter& removed) {
   flow& from = this->flow_of(this->levels[removed.priority], removed.tenant);
-  const place sought = place_of(removed);
+  const queue_entry sought = place_of(removed);
   const auto found =
       std::lower_bound(from.waiters.begin(), from.waiters.end(), sought, goes_before);
   if (found == from.waiters.end() || found->number != removed.number) {
     return;
   }
   from.waiters.erase(found);
-  --this->waiting;
-  if (this->waiting == 0) {
+  --this->waiter_count;
+  if (this->waiter_count == 0) {
     this->levels.clear();
   }
 }
 
-void fair_queue::note_started(std::uint32_t priority, const std::string& tenant) {
-  if (this->waiting == 0) {
+void fair_queue::on_started(std::uint32_t priority, const std::string& tenant) {
+  if (this->waiter_count == 0) {
     return;
   }
   level& of = this->levels[priority];
@@ -77,14 +77,14 @@
   charged.start_tag += 1 / charged.weight;
 }
 
-void fair_queue::append_order(std::vector<place>& out) const {
+void fair_queue::append_order(std::vector<queue_entry>& out) const {
   for (const auto& [priority, of] : this->levels) {
     const auto began = static_cast<std::ptrdiff_t>(out.size());
     for (const auto& [tenant, each] : of.flows) {
       double tag = each.start_tag;
-      for (const place& waits : each.waiters) {
+      for (const queue_entry& waits : each.waiters) {
         out.push_back(waits);
-        out.back().tag = tag;
+        out.back().start_tag = tag;
         tag += 1 / each.weight;
       }
     }
--- a/src/waiting/fair_queue.h
+++ b/src/waiting/fair_queue.h
@@ -39,18 +39,18 @@
   std::uint32_t priority = 0;  // of its route; 0 goes first
   common::Duration target_latency{0};
   common::Instant arrived{0};
-  common::Instant hold_until{0};  // refused if it did not start by then
+  common::Instant queue_deadline{0};  // refused if it did not start by then
   need needs = need::any;
 };
 
 /** A waiter's place in the order. */
-struct place {
+struct queue_entry {
   std::uint32_t priority = 0;
-  double tag = 0;            // virtual time at which it would start
+  double start_tag = 0;      // virtual time at which it would start
   common::Duration rank{0};  // within a tenant: end of the hold time, or the target latency
   common::Instant arrived{0};
   waiter_number number = 0;
-  common::Instant hold_until{0};
+  common::Instant queue_deadline{0};
   need needs = need::any;
 };
 
@@ -66,20 +66,20 @@
   void remove(const waiter& removed);
 
   /** An operation started, from the queue or past it: its tenant's share is charged. */
-  void note_started(std::uint32_t priority, const std::string& tenant);
+  void on_started(std::uint32_t priority, const std::string& tenant);
 
-  bool empty() const { return this->waiting == 0; }
-  std::size_t size() const { return this->waiting; }
+  bool empty() const { return this->waiter_count == 0; }
+  std::size_t size() const { return this->waiter_count; }
 
   /** Appends all waiters in the order in which they should be tried. */
-  void append_order(std::vector<place>& out) const;
+  void append_order(std::vector<queue_entry>& out) const;
 
  private:
   /** A tenant's waiters of one priority. */
   struct flow {
     double weight = 1;
-    double start_tag = 0;        // of its first waiter
-    std::vector<place> waiters;  // in the tenant's own order; tags are not used here
+    double start_tag = 0;              // of its first waiter
+    std::vector<queue_entry> waiters;  // in the tenant's own order; tags are not used here
   };
   /** The flows of one priority. */
   struct level {
@@ -91,7 +91,7 @@
 
   const tenant_weights* weights;
   std::map<std::uint32_t, level> levels;  // by priority
-  std::size_t waiting = 0;
+  std::size_t waiter_count = 0;
 };
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/recorder.h
+++ b/src/waiting/recorder.h
@@ -30,16 +30,16 @@
   virtual ~load_observer() = default;
 
   /** An operation ended. @param came  with the time it ran for; 0 if it never started */
-  virtual void note_operation(const arrival& came) = 0;
+  virtual void on_operation_ended(const arrival& came) = 0;
 
   /** So many statements may run at once now; told again and again. */
-  virtual void note_capacity(const capacity_change& seen) = 0;
+  virtual void on_capacity(const capacity_change& seen) = 0;
 };
 
 class trace_recorder : public load_observer {
  public:
-  void note_operation(const arrival& came) override;
-  void note_capacity(const capacity_change& seen) override;
+  void on_operation_ended(const arrival& came) override;
+  void on_capacity(const capacity_change& seen) override;
 
   std::size_t operations() const { return this->arrivals.size(); }
 
@@ -52,13 +52,13 @@
     common::Duration time{0};
     std::int64_t count = 0;
   };
-  using kind = std::pair<std::string, need>;  // service and need
+  using service_and_need = std::pair<std::string, need>;  // service and need
 
   std::vector<arrival> arrivals;
   std::vector<capacity_change> capacities;
-  std::map<kind, std::size_t> newest_capacity;
-  std::map<kind, work_sum> worked;
-  std::optional<common::Instant> first;
+  std::map<service_and_need, std::size_t> latest_slots;
+  std::map<service_and_need, work_sum> work_by_target;
+  std::optional<common::Instant> first_event;
 };
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/replay.cc
+++ b/src/waiting/replay.cc
@@ -154,7 +154,7 @@
     added.priority = comes.asks->priority;
     added.target_latency = comes.asks->target_latency;
     added.arrived = now;
-    added.hold_until = now + comes.asks->hold;
+    added.queue_deadline = now + comes.asks->max_wait;
     added.needs = comes.asks->needs;
     this->queues.add(comes.asks->service, added, comes.for_room);
     this->result.most_waiting = std::max(this->result.most_waiting, this->queues.size());
@@ -162,7 +162,7 @@
 
   void note_return(common::Instant now) {
     this->returns.push(now);
-    while (this->returns.front() + RETURN_WINDOW <= now) {
+    while (this->returns.front() + RETRY_WINDOW <= now) {
       this->returns.pop();
     }
     this->result.most_returning = std::max(this->result.most_returning, this->returns.size());
@@ -173,34 +173,34 @@
     slots& at = this->slots_of(tried);
     tried.for_room = at.capacity > 0;
     if (at.capacity == 0) {
-      this->queues.note_no_place(target_of(tried), now);
+      this->queues.on_no_instance(target_of(tried), now);
       return false;
     }
     if (at.running >= at.capacity) {
-      this->queues.note_blocked(target_of(tried), at.capacity, now);
+      this->queues.on_no_free_slot(target_of(tried), at.capacity, now);
       return false;
     }
-    this->queues.note_started(target_of(tried),
-                              {number, tried.asks->priority, this->queue_tenant(tried)}, now);
+    this->queues.on_started(target_of(tried),
+                            {number, tried.asks->priority, this->queue_tenant(tried)}, now);
     ++at.running;
     this->ending.push({now + tried.asks->work, number});
     return true;
   }
 
   void pump(common::Instant now) {
-    for (const place& each : this->queues.order()) {
+    for (const queue_entry& each : this->queues.order()) {
       if (this->try_start(each.number, now)) {
         this->queues.remove(each.number);
       } else {
-        this->queues.set_for_room(each.number, this->callers.at(each.number).for_room);
+        this->queues.set_waits_only_for_slot(each.number, this->callers.at(each.number).for_room);
       }
     }
   }
 
   void tick(common::Instant now) {
-    const std::vector<place> waiting = this->queues.order();
-    for (const place& each : waiting) {
-      if (now >= each.hold_until) {
+    const std::vector<queue_entry> waiting = this->queues.order();
+    for (const queue_entry& each : waiting) {
+      if (now >= each.queue_deadline) {
         this->refuse_held(each.number, now);
       }
     }
@@ -208,8 +208,8 @@
     if (!this->is_fair()) {
       return;
     }
-    for (const hopeless& found : this->queues.find_hopeless(now)) {
-      this->refuse(found.number, found.likely_wait, now);
+    for (const late_waiter& found : this->queues.find_late_waiters(now)) {
+      this->refuse(found.number, found.expected_wait, now);
     }
   }
 
@@ -217,7 +217,7 @@
     const caller& held = this->callers.at(number);
     ++this->outcome_of(held).held_in_vain;
     const auto likely =
-        held.for_room ? this->queues.likely_wait(target_of(held), now) : std::nullopt;
+        held.for_room ? this->queues.expected_wait(target_of(held), now) : std::nullopt;
     this->refuse(number, likely, now);
   }
 
@@ -248,10 +248,10 @@
     refused_attempt attempt;
     attempt.session = number;
     attempt.since_first = now - told.asks->at;
-    attempt.hold = told.asks->hold;
+    attempt.max_wait = told.asks->max_wait;
     attempt.target_latency = told.asks->target_latency;
-    attempt.likely_wait = likely_wait;
-    return come_back(attempt);
+    attempt.expected_wait = likely_wait;
+    return retry_after(attempt);
   }
 
   /** @return how much later than told a caller comes. */
@@ -322,7 +322,7 @@
   return figure_of(total(of), name);
 }
 
-std::vector<expected_outcome> unmet(const trace& played, const replay_result& result) {
+std::vector<expected_outcome> unmet_expectations(const trace& played, const replay_result& result) {
   std::vector<expected_outcome> found;
   for (const expected_outcome& each : played.expectations) {
     const auto value = figure(result, each.tenant, each.figure);
--- a/src/waiting/replay.h
+++ b/src/waiting/replay.h
@@ -21,7 +21,7 @@
 namespace valvekeel::waiting {
 
 enum class policy : std::uint8_t {
-  standing,  // one order for all tenants, refused at the end of the hold time, back after 250 ms
+  baseline,  // one order for all tenants, refused at the end of the hold time, back after 250 ms
   fair,      // what this module decides
 };
 
@@ -43,7 +43,7 @@
 };
 
 /** Window in which callers that come back count as one crowd: a few answers' length. */
-inline constexpr common::Duration RETURN_WINDOW{50'000};
+inline constexpr common::Duration RETRY_WINDOW{50'000};
 
 replay_result replay(const trace& played, policy by);
 
@@ -61,6 +61,6 @@
                              const std::string& name);
 
 /** @return the expectations of the trace that the result does not meet. */
-std::vector<expected_outcome> unmet(const trace& played, const replay_result& result);
+std::vector<expected_outcome> unmet_expectations(const trace& played, const replay_result& result);
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/retry_after.cc
+++ b/src/waiting/retry_after.cc
@@ -15,22 +15,23 @@
 /** @return true if an attempt after the pause may start in time for the target latency, even if it
  * waits for the whole of its hold time again. The pause is stretched by a half in the mean. */
 bool still_in_time(const refused_attempt& refused, common::Duration pause) {
-  const common::Duration start = refused.since_first + pause * 3 / 2 + refused.hold;
-  const double latest = START_SHARE * static_cast<double>(refused.target_latency.count());
+  const common::Duration start = refused.since_first + pause * 3 / 2 + refused.max_wait;
+  const double latest = LATEST_START_FRACTION * static_cast<double>(refused.target_latency.count());
   return static_cast<double>(start.count()) <= latest;
 }
 
 common::Duration pause_for(const refused_attempt& refused) {
-  if (!refused.likely_wait) {
-    return USUAL_COME_BACK;
+  if (!refused.expected_wait) {
+    return DEFAULT_RETRY_AFTER;
   }
-  const common::Duration pause = std::max(*refused.likely_wait - refused.hold, SHORTEST_COME_BACK);
-  return still_in_time(refused, pause) ? std::min(pause, LATE_COME_BACK) : LATE_COME_BACK;
+  const common::Duration pause =
+      std::max(*refused.expected_wait - refused.max_wait, MIN_RETRY_AFTER);
+  return still_in_time(refused, pause) ? std::min(pause, LATE_RETRY_AFTER) : LATE_RETRY_AFTER;
 }
 
 }  // namespace
 
-common::Duration come_back(const refused_attempt& refused) {
+common::Duration retry_after(const refused_attempt& refused) {
   const common::Duration pause = pause_for(refused);
   const auto step = static_cast<std::int64_t>(common::MixHash(refused.session) % SPREAD_STEPS);
   return pause + pause * step / static_cast<std::int64_t>(SPREAD_STEPS);
--- a/src/waiting/service_queues.h
+++ b/src/waiting/service_queues.h
@@ -28,16 +28,16 @@
 };
 
 /** An operation that started. */
-struct starter {
+struct started_operation {
   waiter_number number = 0;
   std::uint32_t priority = 0;
   const std::string& tenant;
 };
 
 /** A waiter whose turn will not come in time. */
-struct hopeless {
+struct late_waiter {
   waiter_number number = 0;
-  common::Duration likely_wait{0};
+  common::Duration expected_wait{0};
 };
 
 class service_queues {
@@ -61,35 +61,35 @@
   /** Takes a waiter out, if it waits. */
   void remove(waiter_number number);
 
-  bool empty() const { return this->entries.empty(); }
-  std::size_t size() const { return this->entries.size(); }
+  bool empty() const { return this->waiters.empty(); }
+  std::size_t size() const { return this->waiters.size(); }
 
   /** A waiter was tried again. @param for_room  as in add */
-  void set_for_room(waiter_number number, bool for_room);
+  void set_waits_only_for_slot(waiter_number number, bool for_room);
 
   /**
    * An operation started.
    *
    * @param started  of a waiter that is to be removed next, or one that never waited
    */
-  void note_started(const target& at, const starter& started, common::Instant now);
+  void on_started(const target& at, const started_operation& started, common::Instant now);
 
   /** An operation found no room. @param places  see wait_forecast::note_blocked */
-  void note_blocked(const target& at, std::size_t places, common::Instant now);
+  void on_no_free_slot(const target& at, std::size_t places, common::Instant now);
 
   /** No instance may serve an operation. For one that needs the primary, this is a gap. */
-  void note_no_place(const target& at, common::Instant now);
+  void on_no_instance(const target& at, common::Instant now);
 
   /** @return all waiters, service by service, each in the order in which they should be tried.
    * Valid until the next call. */
-  const std::vector<place>& order();
+  const std::vector<queue_entry>& order();
 
   /** @return who should be refused now since its turn will not come in time, in order. Valid until
    * the next call. */
-  const std::vector<hopeless>& find_hopeless(common::Instant now);
+  const std::vector<late_waiter>& find_late_waiters(common::Instant now);
 
   /** @return how long an operation that came now would wait; nothing if that is not known. */
-  std::optional<common::Duration> likely_wait(const target& at, common::Instant now) const;
+  std::optional<common::Duration> expected_wait(const target& at, common::Instant now) const;
 
  private:
   struct service_queue {
@@ -99,21 +99,21 @@
     std::array<wait_forecast, 2> forecasts;       // by need
     std::array<std::size_t, 2> counts_by_need{};  // of the waiters
   };
-  struct entry {
+  struct waiter_record {
     service_queue* queue = nullptr;
-    waiter waits;
-    bool for_room = false;
+    waiter operation;
+    bool waits_only_for_slot = false;
   };
 
   service_queue& queue_of(const std::string& service);
-  void append_hopeless(const service_queue& of, common::Instant now);
+  void append_late_waiters(const service_queue& of, common::Instant now);
 
   tenant_weights weights;
   std::map<std::string, service_queue> queues;
-  std::unordered_map<waiter_number, entry> entries;
-  std::vector<place> order_made;  // kept for its memory
-  std::vector<place> places_looked_at;
-  std::vector<hopeless> hopeless_found;
+  std::unordered_map<waiter_number, waiter_record> waiters;
+  std::vector<queue_entry> order_buffer;  // kept for its memory
+  std::vector<queue_entry> scan_buffer;
+  std::vector<late_waiter> late_waiters;
 };
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/tenant_weights.cc
+++ b/src/waiting/tenant_weights.cc
@@ -25,17 +25,17 @@
 
 void tenant_weights::set_tenants(const std::map<std::string, tenants::tenant>& tenants) {
   this->weights.clear();
-  this->usual = mean_rate(tenants);
+  this->default_weight = mean_rate(tenants);
   for (const auto& [name, tenant] : tenants) {
-    const double rate = tenant.rate > 0 ? tenant.rate : this->usual;
-    const std::uint32_t steps = std::min(tenant.priority, MOST_PRIORITY_STEPS);
+    const double rate = tenant.rate > 0 ? tenant.rate : this->default_weight;
+    const std::uint32_t steps = std::min(tenant.priority, MAX_PRIORITY_STEPS);
     this->weights[name] = rate * std::pow(PRIORITY_FACTOR, steps);
   }
 }
 
 double tenant_weights::of(const std::string& tenant) const {
   const auto found = this->weights.find(tenant);
-  return found == this->weights.end() ? this->usual : found->second;
+  return found == this->weights.end() ? this->default_weight : found->second;
 }
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/tenant_weights.h
+++ b/src/waiting/tenant_weights.h
@@ -17,7 +17,7 @@
 inline constexpr double PRIORITY_FACTOR = 0.5;
 
 /** Steps of priority that count: a sixteenth of the weight is left, so the lowest still moves. */
-inline constexpr std::uint32_t MOST_PRIORITY_STEPS = 4;
+inline constexpr std::uint32_t MAX_PRIORITY_STEPS = 4;
 
 class tenant_weights {
  public:
@@ -32,7 +32,7 @@
 
  private:
   std::unordered_map<std::string, double> weights;
-  double usual = 1;  // the mean of the declared rates, 1 without any
+  double default_weight = 1;  // the mean of the declared rates, 1 without any
 };
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/trace.cc
+++ b/src/waiting/trace.cc
@@ -197,7 +197,7 @@
 std::string format(const arrival& of) {
   return "arrive " + in_milliseconds(of.at) + " " + of.service + " " + name_of(of.needs) + " " +
          (of.tenant.empty() ? NO_TENANT : of.tenant) + " " + std::to_string(of.priority) + " " +
-         in_milliseconds(of.target_latency) + " " + in_milliseconds(of.hold) + " " +
+         in_milliseconds(of.target_latency) + " " + in_milliseconds(of.max_wait) + " " +
          in_milliseconds(of.work);
 }
 
--- a/src/waiting/trace.h
+++ b/src/waiting/trace.h
@@ -37,7 +37,7 @@
   std::string tenant;  // empty: none
   std::uint32_t priority = 0;
   common::Duration target_latency{0};
-  common::Duration hold{0};
+  common::Duration max_wait{0};
   common::Duration work{0};  // how long an instance runs it
 };
 
--- a/src/waiting/wait_forecast.cc
+++ b/src/waiting/wait_forecast.cc
@@ -15,7 +15,7 @@
 
 /** @return what is left of something after a time. */
 double left_after(common::Duration elapsed) {
-  return std::exp(-in_seconds(elapsed) / in_seconds(FADING_TIME));
+  return std::exp(-in_seconds(elapsed) / in_seconds(DECAY_TIME_CONSTANT));
 }
 
 common::Duration from_seconds(double seconds) {
@@ -24,56 +24,57 @@
 
 }  // namespace
 
-wait_forecast::tally wait_forecast::faded(common::Instant now) const {
-  const common::Duration elapsed = now - this->seen_at;
+wait_forecast::tally wait_forecast::decayed(common::Instant now) const {
+  const common::Duration elapsed = now - this->observed_at;
   if (elapsed <= common::Duration(0)) {
-    return this->seen;
+    return this->observed;
   }
   const double left = left_after(elapsed);
-  tally result{this->seen.starts * left, this->seen.seconds * left};
-  if (this->crowded) {
+  tally result{this->observed.starts * left, this->observed.seconds * left};
+  if (this->saturated) {
     result.seconds +=
-        in_seconds(FADING_TIME) * (1 - left_after(std::min(elapsed, LONGEST_SILENCE)));
+        in_seconds(DECAY_TIME_CONSTANT) * (1 - left_after(std::min(elapsed, MAX_EVENT_INTERVAL)));
   }
   return result;
 }
 
 void wait_forecast::advance(common::Instant now) {
-  this->seen = this->faded(now);
-  this->seen_at = now;
+  this->observed = this->decayed(now);
+  this->observed_at = now;
 }
 
-void wait_forecast::note_blocked(std::size_t places, common::Instant now) {
+void wait_forecast::on_no_free_slot(std::size_t places, common::Instant now) {
   this->advance(now);
-  this->crowded = true;
-  const bool more = places > this->most_places;
-  if (more && this->most_places > 0) {
-    this->seen = {};  // an instance has come: what is known is of fewer
+  this->saturated = true;
+  const bool more = places > this->max_instances;
+  if (more && this->max_instances > 0) {
+    this->observed = {};  // an instance has come: what is known is of fewer
   }
-  if (places >= this->most_places || now >= this->most_places_at + PLACES_MEMORY) {
-    this->most_places = places;
-    this->most_places_at = now;
+  if (places >= this->max_instances || now >= this->max_instances_at + INSTANCE_COUNT_RETENTION) {
+    this->max_instances = places;
+    this->max_instances_at = now;
   }
 }
 
-void wait_forecast::note_gap(common::Instant now) {
-  this->seen = {};
-  this->seen_at = now;
-  this->crowded = false;
-  this->most_places = 0;
+void wait_forecast::on_outage(common::Instant now) {
+  this->observed = {};
+  this->observed_at = now;
+  this->saturated = false;
+  this->max_instances = 0;
 }
 
-void wait_forecast::note_started(bool others_wait, common::Instant now) {
+void wait_forecast::on_started(bool others_wait, common::Instant now) {
   this->advance(now);
-  if (this->crowded) {
-    this->seen.starts += 1;
+  if (this->saturated) {
+    this->observed.starts += 1;
   }
-  this->crowded = this->crowded && others_wait;
+  this->saturated = this->saturated && others_wait;
 }
 
-std::optional<expectation> wait_forecast::expect(std::size_t position, common::Instant now) const {
-  const tally known = this->faded(now);
-  if (known.starts < LEAST_STARTS || known.seconds < in_seconds(LEAST_CROWDED)) {
+std::optional<turn_estimate> wait_forecast::estimate_turn(std::size_t position,
+                                                          common::Instant now) const {
+  const tally known = this->decayed(now);
+  if (known.starts < MIN_STARTS || known.seconds < in_seconds(MIN_SATURATED_TIME)) {
     return std::nullopt;
   }
   const auto turns = static_cast<double>(position);
@@ -81,7 +82,7 @@
   const double rate = known.starts / known.seconds;
   const double lucky_rate = (known.starts + std::sqrt(known.starts)) / known.seconds;
   const double lucky_turns = turns - std::sqrt(turns);
-  return expectation{from_seconds(turns / rate), from_seconds(lucky_turns / lucky_rate)};
+  return turn_estimate{from_seconds(turns / rate), from_seconds(lucky_turns / lucky_rate)};
 }
 
 }  // namespace valvekeel::waiting
--- a/tests/proxy/dispatcher_waiting_test.cc
+++ b/tests/proxy/dispatcher_waiting_test.cc
@@ -253,7 +253,7 @@
   };
   fixture.Overload(std::chrono::seconds(1));
   const SessionNumber first = fixture.refusals.back().session;
-  CHECK(pause_of(first) < waiting::LATE_COME_BACK);
+  CHECK(pause_of(first) < waiting::LATE_RETRY_AFTER);
   fixture.Overload(kTargetLatency / 2);
   for (int i = 0; i < 5; ++i) {
     fixture.SendInNewSession(kLargeKey);
@@ -262,8 +262,8 @@
   fixture.SendRead(first);
   const SessionNumber other = fixture.SendInNewSession(kLargeKey);
   fixture.Overload(kTargetLatency / 2);
-  CHECK(pause_of(first) >= waiting::LATE_COME_BACK);
-  CHECK(pause_of(other) < waiting::LATE_COME_BACK);
+  CHECK(pause_of(first) >= waiting::LATE_RETRY_AFTER);
+  CHECK(pause_of(other) < waiting::LATE_RETRY_AFTER);
 }
 
 TEST_CASE("A read that was sent and not answered is not refused early", "[proxy][waiting]") {
@@ -301,7 +301,7 @@
   CHECK(trace.arrivals.front().tenant == "large");
   CHECK(trace.arrivals.front().needs == waiting::need::primary);
   CHECK(trace.arrivals.front().work == kTick);
-  CHECK(trace.arrivals.front().hold == kTargetLatency / 4);
+  CHECK(trace.arrivals.front().max_wait == kTargetLatency / 4);
   REQUIRE(trace.capacities.size() == 2);
   CHECK(trace.capacities.front().slots == 2);
 }
--- a/tests/waiting/fair_queue_test.cc
+++ b/tests/waiting/fair_queue_test.cc
@@ -40,7 +40,7 @@
     std::size_t of_tenant = 0;
     for (std::size_t i = 0; i < count; ++i) {
       const waiter first = waiters.at(order().front() - 1);
-      queue.note_started(first.priority, first.tenant);
+      queue.on_started(first.priority, first.tenant);
       queue.remove(first);
       of_tenant += first.tenant == tenant ? 1 : 0;
     }
@@ -48,11 +48,11 @@
   }
 
   std::vector<waiter_number> order() const {
-    std::vector<place> places;
+    std::vector<queue_entry> places;
     queue.append_order(places);
     std::vector<waiter_number> numbers;
     std::transform(places.begin(), places.end(), std::back_inserter(numbers),
-                   [](const place& each) { return each.number; });
+                   [](const queue_entry& each) { return each.number; });
     return numbers;
   }
 
@@ -118,7 +118,7 @@
   queue_fixture fixture;
   const waiter late = fixture.add("small");
   for (int i = 0; i < 4; ++i) {
-    fixture.queue.note_started(0, "small");
+    fixture.queue.on_started(0, "small");
   }
   const waiter other = fixture.add("later");
   CHECK(fixture.order() == numbers{other.number, late.number});
@@ -165,7 +165,7 @@
 TEST_CASE("Shares begin anew when nobody waits", "[waiting]") {
   queue_fixture fixture;
   fixture.add("small");
-  fixture.queue.note_started(0, "small");
+  fixture.queue.on_started(0, "small");
   fixture.queue.remove(fixture.waiters.back());
   CHECK(fixture.queue.empty());
   fixture.add("small");
--- a/tests/waiting/recorder_test.cc
+++ b/tests/waiting/recorder_test.cc
@@ -17,7 +17,7 @@
   made.at = START + at;
   made.service = "ledger";
   made.target_latency = 200 * MILLISECOND;
-  made.hold = 100 * MILLISECOND;
+  made.max_wait = 100 * MILLISECOND;
   made.work = work;
   return made;
 }
@@ -32,8 +32,8 @@
 
 TEST_CASE("Operations are recorded in the order in which they came", "[waiting]") {
   trace_recorder recorder;
-  recorder.note_operation(came(30 * MILLISECOND, 10 * MILLISECOND));
-  recorder.note_operation(came(5 * MILLISECOND, 40 * MILLISECOND));
+  recorder.on_operation_ended(came(30 * MILLISECOND, 10 * MILLISECOND));
+  recorder.on_operation_ended(came(5 * MILLISECOND, 40 * MILLISECOND));
   const trace read = recorded(recorder);
   REQUIRE(read.arrivals.size() == 2);
   CHECK(read.arrivals.front().at == common::Instant(0));
@@ -43,27 +43,27 @@
 
 TEST_CASE("What never started is given the mean work of those that did", "[waiting]") {
   trace_recorder recorder;
-  recorder.note_operation(came(MILLISECOND, 10 * MILLISECOND));
-  recorder.note_operation(came(2 * MILLISECOND, 30 * MILLISECOND));
-  recorder.note_operation(came(3 * MILLISECOND, common::Duration(0)));
+  recorder.on_operation_ended(came(MILLISECOND, 10 * MILLISECOND));
+  recorder.on_operation_ended(came(2 * MILLISECOND, 30 * MILLISECOND));
+  recorder.on_operation_ended(came(3 * MILLISECOND, common::Duration(0)));
   CHECK(recorded(recorder).arrivals.back().work == 20 * MILLISECOND);
 }
 
 TEST_CASE("Capacity is recorded when it changes", "[waiting]") {
   trace_recorder recorder;
   for (const std::size_t slots : {12UL, 12UL, 6UL, 6UL, 12UL}) {
-    recorder.note_capacity({START, "ledger", need::any, slots});
+    recorder.on_capacity({START, "ledger", need::any, slots});
   }
   CHECK(recorded(recorder).capacities.size() == 3);
 }
 
 TEST_CASE("A recorded load is replayed as it was", "[waiting]") {
   trace_recorder recorder;
-  recorder.note_capacity({START, "ledger", need::any, 1});
+  recorder.on_capacity({START, "ledger", need::any, 1});
   for (int i = 0; i < 5; ++i) {
-    recorder.note_operation(came(common::Duration(0), 30 * MILLISECOND));
+    recorder.on_operation_ended(came(common::Duration(0), 30 * MILLISECOND));
   }
-  const outcome played = total(replay(recorded(recorder), policy::standing));
+  const outcome played = total(replay(recorded(recorder), policy::baseline));
   CHECK(played.callers == 5);
   CHECK(played.in_time == 4);
   CHECK(played.held_in_vain == 1);
--- a/tests/waiting/replay_test.cc
+++ b/tests/waiting/replay_test.cc
@@ -22,10 +22,11 @@
 void check_gain(const std::string& name) {
   const trace played = load(name);
   REQUIRE_FALSE(played.expectations.empty());
-  for (const expected_outcome& each : unmet(played, replay(played, policy::fair))) {
+  for (const expected_outcome& each : unmet_expectations(played, replay(played, policy::fair))) {
     FAIL_CHECK(name << " misses " << each.figure << " of " << each.tenant);
   }
-  CHECK(unmet(played, replay(played, policy::standing)).size() == played.expectations.size());
+  CHECK(unmet_expectations(played, replay(played, policy::baseline)).size() ==
+        played.expectations.size());
 }
 
 }  // namespace
@@ -42,8 +43,8 @@
 TEST_CASE("A queue behind a lost instance is short enough to be served", "[waiting]") {
   const trace played = load("lost-instance");
   const replay_result fair = replay(played, policy::fair);
-  CHECK(unmet(played, fair).empty());
-  const replay_result standing = replay(played, policy::standing);
+  CHECK(unmet_expectations(played, fair).empty());
+  const replay_result standing = replay(played, policy::baseline);
   CHECK(total(fair).in_time > total(standing).in_time);
   CHECK(total(fair).held_in_vain < total(standing).held_in_vain / 4);
 }
@@ -98,7 +99,7 @@
   const auto parsed = parse_trace("expect * speed at_least 0\nexpect nobody late at_most 3\n");
   REQUIRE(common::IsOk(parsed));
   const trace& played = common::ValueOf(parsed);
-  CHECK(unmet(played, replay(played, policy::fair)).size() == 2);
+  CHECK(unmet_expectations(played, replay(played, policy::fair)).size() == 2);
 }
 
 }  // namespace valvekeel::waiting
--- a/tests/waiting/service_queues_test.cc
+++ b/tests/waiting/service_queues_test.cc
@@ -19,9 +19,9 @@
     for (int tick = 0; tick < 200; ++tick) {
       now += TICK;
       if (tick % 2 == 0) {
-        queues.note_started(at, {0, 0, ""}, now);
+        queues.on_started(at, {0, 0, ""}, now);
       }
-      queues.note_blocked(at, 3, now);
+      queues.on_no_free_slot(at, 3, now);
     }
     queues.remove(1);
   }
@@ -30,7 +30,7 @@
     waiter added;
     added.number = ++last;
     added.arrived = now;
-    added.hold_until = now + HOLD;
+    added.queue_deadline = now + HOLD;
     added.needs = at.needs;
     queues.add(SERVICE, added, for_room);
     return added.number;
@@ -49,12 +49,12 @@
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  const auto& found = fixture.queues.find_hopeless(fixture.now);
+  const auto& found = fixture.queues.find_late_waiters(fixture.now);
   // 50 a second for 0.1 s: 5 start on the mean, 10 with luck.
   REQUIRE(found.size() > 28);
   REQUIRE(found.size() < 34);
   CHECK(found.front().number == 42 - found.size());
-  CHECK(found.front().likely_wait > HOLD);
+  CHECK(found.front().expected_wait > HOLD);
 }
 
 TEST_CASE("Those refused make no one wait", "[waiting]") {
@@ -62,8 +62,8 @@
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  const auto& found = fixture.queues.find_hopeless(fixture.now);
-  CHECK(found.front().likely_wait == found.back().likely_wait);
+  const auto& found = fixture.queues.find_late_waiters(fixture.now);
+  CHECK(found.front().expected_wait == found.back().expected_wait);
 }
 
 TEST_CASE("What waits for other things than room is neither refused nor counted", "[waiting]") {
@@ -71,17 +71,17 @@
   for (int i = 0; i < 40; ++i) {
     fixture.add(false);
   }
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
   fixture.add();
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
 TEST_CASE("A waiter that is tried again counts as what it waits for now", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
-    fixture.queues.set_for_room(fixture.add(false), true);
+    fixture.queues.set_waits_only_for_slot(fixture.add(false), true);
   }
-  CHECK_FALSE(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK_FALSE(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
 TEST_CASE("What reads show is not held against the primary's waiters", "[waiting]") {
@@ -90,24 +90,24 @@
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
 TEST_CASE("The queue that formed in a primary's gap is not refused after it", "[waiting]") {
   queues_fixture fixture(need::primary);
-  fixture.queues.note_no_place(fixture.at, fixture.now);
+  fixture.queues.on_no_instance(fixture.at, fixture.now);
   fixture.now += 700 * MILLISECOND;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  fixture.queues.note_blocked(fixture.at, 1, fixture.now);
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  fixture.queues.on_no_free_slot(fixture.at, 1, fixture.now);
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
 TEST_CASE("A read that finds no fresh replica is no gap for others", "[waiting]") {
   queues_fixture fixture;
-  fixture.queues.note_no_place(fixture.at, fixture.now);
-  CHECK(fixture.queues.likely_wait(fixture.at, fixture.now));
+  fixture.queues.on_no_instance(fixture.at, fixture.now);
+  CHECK(fixture.queues.expected_wait(fixture.at, fixture.now));
 }
 
 TEST_CASE("Services do not wait for each other", "[waiting]") {
@@ -116,7 +116,7 @@
     fixture.add();
   }
   const std::string other = "archive";
-  CHECK_FALSE(fixture.queues.likely_wait({other, need::any}, fixture.now));
+  CHECK_FALSE(fixture.queues.expected_wait({other, need::any}, fixture.now));
 }
 
 TEST_CASE("A waiter that is added again keeps its place", "[waiting]") {
--- a/tests/waiting/wait_forecast_test.cc
+++ b/tests/waiting/wait_forecast_test.cc
@@ -23,17 +23,17 @@
       since_start += TICK;
       for (; since_start >= interval; since_start -= interval) {
         for (int i = 0; i < lump; ++i) {
-          forecast.note_started(true, now);
+          forecast.on_started(true, now);
         }
       }
-      forecast.note_blocked(places, now);
+      forecast.on_no_free_slot(places, now);
     }
   }
 
   /** @return the time of the likely turn, negative if it is not known. */
   common::Duration likely(std::size_t position) const {
-    const auto expected = forecast.expect(position, now);
-    return expected ? expected->likely : common::Duration(-1);
+    const auto expected = forecast.estimate_turn(position, now);
+    return expected ? expected->expected : common::Duration(-1);
   }
 
   wait_forecast forecast;
@@ -48,36 +48,36 @@
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   CHECK(service.likely(10) > 180 * MILLISECOND);
   CHECK(service.likely(10) < 220 * MILLISECOND);
-  const auto expected = service.forecast.expect(10, service.now);
-  CHECK(expected->soonest < 140 * MILLISECOND);
+  const auto expected = service.forecast.estimate_turn(10, service.now);
+  CHECK(expected->earliest < 140 * MILLISECOND);
 }
 
 TEST_CASE("The next in the queue is never forecast to come too late", "[waiting]") {
   crowded_service service;
   service.run(std::chrono::seconds(2), 100 * MILLISECOND);
-  CHECK(service.forecast.expect(1, service.now)->soonest == common::Duration(0));
+  CHECK(service.forecast.estimate_turn(1, service.now)->earliest == common::Duration(0));
 }
 
 TEST_CASE("Nothing is forecast while too little is known", "[waiting]") {
   crowded_service service;
-  CHECK_FALSE(service.forecast.expect(FAR_BACK, service.now));
+  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
   service.run(90 * MILLISECOND, 20 * MILLISECOND);
-  CHECK_FALSE(service.forecast.expect(FAR_BACK, service.now));
+  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
   service.run(30 * MILLISECOND, 20 * MILLISECOND);
-  CHECK(service.forecast.expect(FAR_BACK, service.now));
+  CHECK(service.forecast.estimate_turn(FAR_BACK, service.now));
 }
 
 TEST_CASE("Two starts tell no rate", "[waiting]") {
   crowded_service service;
   service.run(300 * MILLISECOND, 150 * MILLISECOND);
-  CHECK_FALSE(service.forecast.expect(FAR_BACK, service.now));
+  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
 }
 
 TEST_CASE("Starts without a crowd tell nothing of what the instances can do", "[waiting]") {
   crowded_service service;
   for (int i = 0; i < 100; ++i) {
     service.now += TICK;
-    service.forecast.note_started(false, service.now);
+    service.forecast.on_started(false, service.now);
   }
   service.run(std::chrono::milliseconds(400), 40 * MILLISECOND);
   CHECK(service.likely(10) > 350 * MILLISECOND);
@@ -87,9 +87,9 @@
   crowded_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   const common::Duration before = service.likely(10);
-  service.forecast.note_started(false, service.now);
+  service.forecast.on_started(false, service.now);
   service.now += 400 * MILLISECOND;
-  service.forecast.note_blocked(PLACES, service.now);
+  service.forecast.on_no_free_slot(PLACES, service.now);
   CHECK(service.likely(10) < before * 11 / 10);
 }
 
@@ -104,34 +104,34 @@
 TEST_CASE("A gap without a primary forgets the rate", "[waiting]") {
   crowded_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND, 1, 1);
-  service.forecast.note_gap(service.now);
+  service.forecast.on_outage(service.now);
   service.now += 700 * MILLISECOND;
-  service.forecast.note_blocked(1, service.now);
-  CHECK_FALSE(service.forecast.expect(FAR_BACK, service.now));
+  service.forecast.on_no_free_slot(1, service.now);
+  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
 }
 
 TEST_CASE("An instance that comes back forgets the rate without it", "[waiting]") {
   crowded_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND, 1, PLACES - 1);
-  service.forecast.note_blocked(PLACES, service.now);
-  CHECK_FALSE(service.forecast.expect(FAR_BACK, service.now));
+  service.forecast.on_no_free_slot(PLACES, service.now);
+  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
 }
 
 TEST_CASE("An instance that was away and comes back is noticed", "[waiting]") {
   crowded_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
-  service.run(PLACES_MEMORY + 2 * TICK, 30 * MILLISECOND, 1, PLACES - 1);
-  CHECK(service.forecast.expect(FAR_BACK, service.now));
-  service.forecast.note_blocked(PLACES, service.now);
-  CHECK_FALSE(service.forecast.expect(FAR_BACK, service.now));
+  service.run(INSTANCE_COUNT_RETENTION + 2 * TICK, 30 * MILLISECOND, 1, PLACES - 1);
+  CHECK(service.forecast.estimate_turn(FAR_BACK, service.now));
+  service.forecast.on_no_free_slot(PLACES, service.now);
+  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
 }
 
 TEST_CASE("An operation with fewer instances to choose from changes nothing", "[waiting]") {
   crowded_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
-  service.forecast.note_blocked(1, service.now);
-  service.forecast.note_blocked(PLACES, service.now);
-  CHECK(service.forecast.expect(FAR_BACK, service.now));
+  service.forecast.on_no_free_slot(1, service.now);
+  service.forecast.on_no_free_slot(PLACES, service.now);
+  CHECK(service.forecast.estimate_turn(FAR_BACK, service.now));
 }
 
 TEST_CASE("A queue that moves in lumps has its mean rate", "[waiting]") {
@@ -140,7 +140,7 @@
   for (int tick = 0; tick < 20; ++tick) {
     service.run(TICK, 200 * MILLISECOND, 10);
     // A lump of ten comes every 200 ms, so the tenth never waits longer.
-    CHECK(service.forecast.expect(10, service.now)->soonest < 200 * MILLISECOND);
+    CHECK(service.forecast.estimate_turn(10, service.now)->earliest < 200 * MILLISECOND);
   }
 }
 
@@ -149,7 +149,7 @@
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   const common::Duration before = service.likely(10);
   service.now += 500 * MILLISECOND;
-  service.forecast.note_blocked(PLACES, service.now);
+  service.forecast.on_no_free_slot(PLACES, service.now);
   CHECK(service.likely(10) < before * 11 / 10);
 }
 
