--- a/src/waiting/fair_queue.h
+++ b/src/waiting/fair_queue.h
@@ -87,7 +87,7 @@
     std::map<std::string, flow> flows;
   };
 
-  flow& flow_of(level& of, const std::string& tenant);
+  flow& flow_of(level& at_level, const std::string& tenant);
 
   const tenant_weights* weights;
   std::map<std::uint32_t, level> levels;  // by priority
--- a/src/waiting/recorder.cc
+++ b/src/waiting/recorder.cc
@@ -6,25 +6,25 @@
 
 namespace valvekeel::waiting {
 
-void trace_recorder::on_operation_ended(const arrival& came) {
-  this->first_event = std::min(this->first_event.value_or(came.at), came.at);
-  this->arrivals.push_back(came);
-  if (came.work > common::Duration(0)) {
-    work_sum& sum = this->work_by_target[{came.service, came.needs}];
-    sum.time += came.work;
+void trace_recorder::on_operation_ended(const arrival& ended) {
+  this->first_event = std::min(this->first_event.value_or(ended.at), ended.at);
+  this->arrivals.push_back(ended);
+  if (ended.work > common::Duration(0)) {
+    work_sum& sum = this->work_by_target[{ended.service, ended.needs}];
+    sum.time += ended.work;
     ++sum.count;
   }
 }
 
-void trace_recorder::on_capacity(const capacity_change& seen) {
-  const auto [newest, created] =
-      this->latest_slots.try_emplace({seen.service, seen.needs}, seen.slots);
-  if (!created && newest->second == seen.slots) {
+void trace_recorder::on_capacity(const capacity_change& change) {
+  const auto [latest, created] =
+      this->latest_slots.try_emplace({change.service, change.needs}, change.slots);
+  if (!created && latest->second == change.slots) {
     return;
   }
-  newest->second = seen.slots;
-  this->first_event = std::min(this->first_event.value_or(seen.at), seen.at);
-  this->capacities.push_back(seen);
+  latest->second = change.slots;
+  this->first_event = std::min(this->first_event.value_or(change.at), change.at);
+  this->capacities.push_back(change);
 }
 
 std::string trace_recorder::text() const {
--- a/src/waiting/recorder.h
+++ b/src/waiting/recorder.h
@@ -30,16 +30,16 @@
   virtual ~load_observer() = default;
 
   /** An operation ended. @param came  with the time it ran for; 0 if it never started */
-  virtual void on_operation_ended(const arrival& came) = 0;
+  virtual void on_operation_ended(const arrival& ended) = 0;
 
   /** So many statements may run at once now; told again and again. */
-  virtual void on_capacity(const capacity_change& seen) = 0;
+  virtual void on_capacity(const capacity_change& change) = 0;
 };
 
 class trace_recorder : public load_observer {
  public:
-  void on_operation_ended(const arrival& came) override;
-  void on_capacity(const capacity_change& seen) override;
+  void on_operation_ended(const arrival& ended) override;
+  void on_capacity(const capacity_change& change) override;
 
   std::size_t operations() const { return this->arrivals.size(); }
 
--- a/src/waiting/replay.cc
+++ b/src/waiting/replay.cc
@@ -20,55 +20,55 @@
 /** How often a daemon looks at who waits. */
 constexpr common::Duration TICK{10'000};
 /** Time that all refused callers were told before. */
-constexpr common::Duration STANDING_COME_BACK{250'000};
-constexpr std::size_t NEEDS = 2;
+constexpr common::Duration BASELINE_RETRY_AFTER{250'000};
+constexpr std::size_t NEED_COUNT = 2;
 /** Callers come up to so many steps later than told, as their links and timers have it. Without
  * this all that return do so at a tick, and the phase decides who is served. */
-constexpr std::uint64_t MOST_DELAY_STEPS = 20;
+constexpr std::uint64_t MAX_DELAY_STEPS = 20;
 /** More than the attempts of a caller. */
-constexpr std::uint64_t ATTEMPTS_COUNTED = 64;
+constexpr std::uint64_t MAX_ATTEMPTS = 64;
 
 /** One caller through all its attempts. */
 struct caller {
-  const arrival* asks = nullptr;
+  const arrival* request = nullptr;
   std::uint32_t attempts = 0;
   common::Instant attempt_at{0};
-  bool for_room = false;
+  bool waits_only_for_slot = false;
 };
 
 /** The slots of a service's instances for one need. */
-struct slots {
+struct slot_usage {
   std::size_t capacity = 0;
   std::size_t running = 0;
 };
 
 /** Something that happens to a caller at a time. */
-struct timed {
+struct caller_event {
   common::Instant at{0};
   std::size_t caller = 0;
 
-  bool operator>(const timed& other) const {
+  bool operator>(const caller_event& other) const {
     return std::pair(this->at, this->caller) > std::pair(other.at, other.caller);
   }
 };
 
-using timeline = std::priority_queue<timed, std::vector<timed>, std::greater<>>;
+using event_queue = std::priority_queue<caller_event, std::vector<caller_event>, std::greater<>>;
 
-class player {
+class replayer {
  public:
-  player(const trace& played, policy by) : played(played), by(by) {
-    this->queues.set_tenants(played.tenants);
-    for (const arrival& each : played.arrivals) {
+  replayer(const trace& load, policy used_policy) : load(load), used_policy(used_policy) {
+    this->queues.set_tenants(load.tenants);
+    for (const arrival& each : load.arrivals) {
       this->callers.push_back({&each, 0, each.at, false});
-      this->coming.push({each.at, this->callers.size() - 1});
+      this->pending_attempts.push({each.at, this->callers.size() - 1});
     }
   }
 
   replay_result run() {
-    for (common::Instant now{0}; this->is_open(); now += STEP) {
-      this->take_capacities(now);
-      this->take_ends(now);
-      this->take_attempts(now);
+    for (common::Instant now{0}; this->has_work(); now += STEP) {
+      this->apply_capacity_changes(now);
+      this->complete_finished(now);
+      this->run_due_attempts(now);
       if (now % TICK == common::Duration(0)) {
         this->tick(now);
       }
@@ -77,101 +77,102 @@
   }
 
  private:
-  bool is_open() const {
-    return !this->coming.empty() || !this->ending.empty() || !this->queues.empty();
+  bool has_work() const {
+    return !this->pending_attempts.empty() || !this->completions.empty() || !this->queues.empty();
   }
 
-  bool is_fair() const { return this->by == policy::fair; }
+  bool is_fair() const { return this->used_policy == policy::fair; }
 
-  outcome& outcome_of(const caller& of) { return this->result.by_tenant[of.asks->tenant]; }
+  outcome& outcome_of(const caller& of) { return this->result.by_tenant[of.request->tenant]; }
 
-  std::array<slots, NEEDS>& slots_at(const std::string& service) {
-    return this->slots_by_service[service];
+  std::array<slot_usage, NEED_COUNT>& usages_at(const std::string& service) {
+    return this->usage_by_service[service];
   }
 
-  slots& slots_of(const caller& of) {
-    return this->slots_at(of.asks->service).at(static_cast<std::size_t>(of.asks->needs));
+  slot_usage& usage_of(const caller& of) {
+    return this->usages_at(of.request->service).at(static_cast<std::size_t>(of.request->needs));
   }
 
-  static target target_of(const caller& of) { return {of.asks->service, of.asks->needs}; }
+  static target target_of(const caller& of) { return {of.request->service, of.request->needs}; }
 
   /** @return the tenant by which the caller is queued. */
-  std::string queue_tenant(const caller& of) const {
-    return this->is_fair() ? of.asks->tenant : std::string();
+  std::string tenant_for_queue(const caller& of) const {
+    return this->is_fair() ? of.request->tenant : std::string();
   }
 
-  void take_capacities(common::Instant now) {
+  void apply_capacity_changes(common::Instant now) {
     bool changed = false;
-    while (this->next_capacity < this->played.capacities.size() &&
-           this->played.capacities.at(this->next_capacity).at <= now) {
-      const capacity_change& change = this->played.capacities.at(this->next_capacity);
-      this->slots_at(change.service).at(static_cast<std::size_t>(change.needs)).capacity =
+    while (this->next_capacity < this->load.capacities.size() &&
+           this->load.capacities.at(this->next_capacity).at <= now) {
+      const capacity_change& change = this->load.capacities.at(this->next_capacity);
+      this->usages_at(change.service).at(static_cast<std::size_t>(change.needs)).capacity =
           change.slots;
       ++this->next_capacity;
       changed = true;
     }
     if (changed) {
-      this->pump(now);
+      this->start_queued(now);
     }
   }
 
-  void take_ends(common::Instant now) {
-    while (!this->ending.empty() && this->ending.top().at <= now) {
-      const timed end = this->ending.top();
-      this->ending.pop();
+  void complete_finished(common::Instant now) {
+    while (!this->completions.empty() && this->completions.top().at <= now) {
+      const caller_event end = this->completions.top();
+      this->completions.pop();
       const caller& served = this->callers.at(end.caller);
-      --this->slots_of(served).running;
-      const bool in_time = end.at - served.asks->at <= served.asks->target_latency;
+      --this->usage_of(served).running;
+      const bool in_time = end.at - served.request->at <= served.request->target_latency;
       outcome& of = this->outcome_of(served);
       ++(in_time ? of.in_time : of.late);
-      this->pump(now);
+      this->start_queued(now);
     }
   }
 
-  void take_attempts(common::Instant now) {
-    while (!this->coming.empty() && this->coming.top().at <= now) {
-      const std::size_t number = this->coming.top().caller;
-      this->coming.pop();
+  void run_due_attempts(common::Instant now) {
+    while (!this->pending_attempts.empty() && this->pending_attempts.top().at <= now) {
+      const std::size_t number = this->pending_attempts.top().caller;
+      this->pending_attempts.pop();
       this->attempt(number, now);
     }
   }
 
   void attempt(std::size_t number, common::Instant now) {
-    caller& comes = this->callers.at(number);
-    comes.attempt_at = now;
-    ++comes.attempts;
-    if (comes.attempts == 1) {
-      ++this->outcome_of(comes).callers;
+    caller& arriving = this->callers.at(number);
+    arriving.attempt_at = now;
+    ++arriving.attempts;
+    if (arriving.attempts == 1) {
+      ++this->outcome_of(arriving).callers;
     } else {
-      this->note_return(now);
+      this->record_retry(now);
     }
     if (this->try_start(number, now)) {
       return;
     }
     waiter added;
     added.number = number;
-    added.tenant = this->queue_tenant(comes);
-    added.priority = comes.asks->priority;
-    added.target_latency = comes.asks->target_latency;
+    added.tenant = this->tenant_for_queue(arriving);
+    added.priority = arriving.request->priority;
+    added.target_latency = arriving.request->target_latency;
     added.arrived = now;
-    added.queue_deadline = now + comes.asks->max_wait;
-    added.needs = comes.asks->needs;
-    this->queues.add(comes.asks->service, added, comes.for_room);
+    added.queue_deadline = now + arriving.request->max_wait;
+    added.needs = arriving.request->needs;
+    this->queues.add(arriving.request->service, added, arriving.waits_only_for_slot);
     this->result.most_waiting = std::max(this->result.most_waiting, this->queues.size());
   }
 
-  void note_return(common::Instant now) {
-    this->returns.push(now);
-    while (this->returns.front() + RETRY_WINDOW <= now) {
-      this->returns.pop();
+  void record_retry(common::Instant now) {
+    this->recent_retries.push(now);
+    while (this->recent_retries.front() + RETRY_WINDOW <= now) {
+      this->recent_retries.pop();
     }
-    this->result.most_returning = std::max(this->result.most_returning, this->returns.size());
+    this->result.most_returning =
+        std::max(this->result.most_returning, this->recent_retries.size());
   }
 
   bool try_start(std::size_t number, common::Instant now) {
     caller& tried = this->callers.at(number);
-    slots& at = this->slots_of(tried);
-    tried.for_room = at.capacity > 0;
+    slot_usage& at = this->usage_of(tried);
+    tried.waits_only_for_slot = at.capacity > 0;
     if (at.capacity == 0) {
       this->queues.on_no_instance(target_of(tried), now);
       return false;
@@ -181,18 +182,19 @@
       return false;
     }
     this->queues.on_started(target_of(tried),
-                            {number, tried.asks->priority, this->queue_tenant(tried)}, now);
+                            {number, tried.request->priority, this->tenant_for_queue(tried)}, now);
     ++at.running;
-    this->ending.push({now + tried.asks->work, number});
+    this->completions.push({now + tried.request->work, number});
     return true;
   }
 
-  void pump(common::Instant now) {
+  void start_queued(common::Instant now) {
     for (const queue_entry& each : this->queues.order()) {
       if (this->try_start(each.number, now)) {
         this->queues.remove(each.number);
       } else {
-        this->queues.set_waits_only_for_slot(each.number, this->callers.at(each.number).for_room);
+        this->queues.set_waits_only_for_slot(each.number,
+                                             this->callers.at(each.number).waits_only_for_slot);
       }
     }
   }
@@ -201,10 +203,10 @@
     const std::vector<queue_entry> waiting = this->queues.order();
     for (const queue_entry& each : waiting) {
       if (now >= each.queue_deadline) {
-        this->refuse_held(each.number, now);
+        this->refuse_at_deadline(each.number, now);
       }
     }
-    this->pump(now);
+    this->start_queued(now);
     if (!this->is_fair()) {
       return;
     }
@@ -213,61 +215,63 @@
     }
   }
 
-  void refuse_held(std::size_t number, common::Instant now) {
-    const caller& held = this->callers.at(number);
-    ++this->outcome_of(held).held_in_vain;
-    const auto likely =
-        held.for_room ? this->queues.expected_wait(target_of(held), now) : std::nullopt;
-    this->refuse(number, likely, now);
+  void refuse_at_deadline(std::size_t number, common::Instant now) {
+    const caller& expired = this->callers.at(number);
+    ++this->outcome_of(expired).held_in_vain;
+    const auto expected = expired.waits_only_for_slot
+                              ? this->queues.expected_wait(target_of(expired), now)
+                              : std::nullopt;
+    this->refuse(number, expected, now);
   }
 
-  void refuse(std::size_t number, const std::optional<common::Duration>& likely_wait,
+  void refuse(std::size_t number, const std::optional<common::Duration>& expected_wait,
               common::Instant now) {
     this->queues.remove(number);
     const caller& refused = this->callers.at(number);
     outcome& of = this->outcome_of(refused);
     ++of.refusals;
     of.refusal_time += now - refused.attempt_at;
-    const common::Duration pause = this->pause_of(number, likely_wait, now);
-    const bool again = refused.attempts <= this->played.retries &&
-                       now + pause < refused.asks->at + this->played.deadline;
+    const common::Duration delay = this->retry_after_of(number, expected_wait, now);
+    const bool again = refused.attempts <= this->load.retries &&
+                       now + delay < refused.request->at + this->load.deadline;
     if (again) {
-      this->coming.push({now + pause + this->delay_of(number), number});
+      this->pending_attempts.push({now + delay + this->extra_delay_of(number), number});
     } else {
       ++of.refused;
     }
   }
 
   /** @return the time that a refused caller is told. */
-  common::Duration pause_of(std::size_t number, const std::optional<common::Duration>& likely_wait,
-                            common::Instant now) const {
+  common::Duration retry_after_of(std::size_t number,
+                                  const std::optional<common::Duration>& expected_wait,
+                                  common::Instant now) const {
     if (!this->is_fair()) {
-      return STANDING_COME_BACK;
+      return BASELINE_RETRY_AFTER;
     }
-    const caller& told = this->callers.at(number);
+    const caller& refused = this->callers.at(number);
     refused_attempt attempt;
     attempt.session = number;
-    attempt.since_first = now - told.asks->at;
-    attempt.max_wait = told.asks->max_wait;
-    attempt.target_latency = told.asks->target_latency;
-    attempt.expected_wait = likely_wait;
+    attempt.since_first = now - refused.request->at;
+    attempt.max_wait = refused.request->max_wait;
+    attempt.target_latency = refused.request->target_latency;
+    attempt.expected_wait = expected_wait;
     return retry_after(attempt);
   }
 
   /** @return how much later than told a caller comes. */
-  common::Duration delay_of(std::size_t number) const {
-    const std::uint64_t attempt = number * ATTEMPTS_COUNTED + this->callers.at(number).attempts;
-    return STEP * static_cast<std::int64_t>(common::MixHash(attempt) % MOST_DELAY_STEPS);
+  common::Duration extra_delay_of(std::size_t number) const {
+    const std::uint64_t attempt = number * MAX_ATTEMPTS + this->callers.at(number).attempts;
+    return STEP * static_cast<std::int64_t>(common::MixHash(attempt) % MAX_DELAY_STEPS);
   }
 
-  const trace& played;
-  policy by;
+  const trace& load;
+  policy used_policy;
   service_queues queues;
   std::vector<caller> callers;
-  std::map<std::string, std::array<slots, NEEDS>> slots_by_service;
-  timeline coming;
-  timeline ending;
-  std::queue<common::Instant> returns;  // in the last RETURN_WINDOW
+  std::map<std::string, std::array<slot_usage, NEED_COUNT>> usage_by_service;
+  event_queue pending_attempts;
+  event_queue completions;
+  std::queue<common::Instant> recent_retries;  // in the last RETURN_WINDOW
   std::size_t next_capacity = 0;
   replay_result result;
 };
@@ -291,7 +295,9 @@
 
 }  // namespace
 
-replay_result replay(const trace& played, policy by) { return player(played, by).run(); }
+replay_result replay(const trace& load, policy used_policy) {
+  return replayer(load, used_policy).run();
+}
 
 outcome total(const replay_result& of) {
   outcome sum;
@@ -322,9 +328,9 @@
   return figure_of(total(of), name);
 }
 
-std::vector<expected_outcome> unmet_expectations(const trace& played, const replay_result& result) {
+std::vector<expected_outcome> unmet_expectations(const trace& load, const replay_result& result) {
   std::vector<expected_outcome> found;
-  for (const expected_outcome& each : played.expectations) {
+  for (const expected_outcome& each : load.expectations) {
     const auto value = figure(result, each.tenant, each.figure);
     const bool met = value && (each.at_least ? *value >= each.value : *value <= each.value);
     if (!met) {
--- a/src/waiting/replay.h
+++ b/src/waiting/replay.h
@@ -45,7 +45,7 @@
 /** Window in which callers that come back count as one crowd: a few answers' length. */
 inline constexpr common::Duration RETRY_WINDOW{50'000};
 
-replay_result replay(const trace& played, policy by);
+replay_result replay(const trace& load, policy used_policy);
 
 /** @return the sum over all tenants. */
 outcome total(const replay_result& of);
@@ -61,6 +61,6 @@
                              const std::string& name);
 
 /** @return the expectations of the trace that the result does not meet. */
-std::vector<expected_outcome> unmet_expectations(const trace& played, const replay_result& result);
+std::vector<expected_outcome> unmet_expectations(const trace& load, const replay_result& result);
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/retry_after.cc
+++ b/src/waiting/retry_after.cc
@@ -14,27 +14,27 @@
 
 /** @return true if an attempt after the pause may start in time for the target latency, even if it
  * waits for the whole of its hold time again. The pause is stretched by a half in the mean. */
-bool still_in_time(const refused_attempt& refused, common::Duration pause) {
-  const common::Duration start = refused.since_first + pause * 3 / 2 + refused.max_wait;
+bool can_meet_target(const refused_attempt& refused, common::Duration delay) {
+  const common::Duration start = refused.since_first + delay * 3 / 2 + refused.max_wait;
   const double latest = LATEST_START_FRACTION * static_cast<double>(refused.target_latency.count());
   return static_cast<double>(start.count()) <= latest;
 }
 
-common::Duration pause_for(const refused_attempt& refused) {
+common::Duration base_delay(const refused_attempt& refused) {
   if (!refused.expected_wait) {
     return DEFAULT_RETRY_AFTER;
   }
-  const common::Duration pause =
+  const common::Duration delay =
       std::max(*refused.expected_wait - refused.max_wait, MIN_RETRY_AFTER);
-  return still_in_time(refused, pause) ? std::min(pause, LATE_RETRY_AFTER) : LATE_RETRY_AFTER;
+  return can_meet_target(refused, delay) ? std::min(delay, LATE_RETRY_AFTER) : LATE_RETRY_AFTER;
 }
 
 }  // namespace
 
 common::Duration retry_after(const refused_attempt& refused) {
-  const common::Duration pause = pause_for(refused);
+  const common::Duration delay = base_delay(refused);
   const auto step = static_cast<std::int64_t>(common::MixHash(refused.session) % SPREAD_STEPS);
-  return pause + pause * step / static_cast<std::int64_t>(SPREAD_STEPS);
+  return delay + delay * step / static_cast<std::int64_t>(SPREAD_STEPS);
 }
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/service_queues.cc
+++ b/src/waiting/service_queues.cc
@@ -15,9 +15,10 @@
   return this->queues.try_emplace(service, this->weights).first->second;
 }
 
-void service_queues::add(const std::string& service, const waiter& added, bool for_room) {
+void service_queues::add(const std::string& service, const waiter& added,
+                         bool waits_only_for_slot) {
   const auto [found, created] = this->waiters.try_emplace(added.number);
-  found->second.waits_only_for_slot = for_room;
+  found->second.waits_only_for_slot = waits_only_for_slot;
   if (!created) {
     return;
   }
@@ -39,25 +40,25 @@
   this->waiters.erase(found);
 }
 
-void service_queues::set_waits_only_for_slot(waiter_number number, bool for_room) {
+void service_queues::set_waits_only_for_slot(waiter_number number, bool waits_only_for_slot) {
   const auto found = this->waiters.find(number);
   if (found != this->waiters.end()) {
-    found->second.waits_only_for_slot = for_room;
+    found->second.waits_only_for_slot = waits_only_for_slot;
   }
 }
 
-void service_queues::on_started(const target& at, const started_operation& started,
+void service_queues::on_started(const target& at, const started_operation& operation,
                                 common::Instant now) {
   service_queue& of = this->queue_of(at.service);
   const std::size_t index = index_of(at.needs);
-  const std::size_t itself = this->waiters.count(started.number);
+  const std::size_t itself = this->waiters.count(operation.number);
   const bool others_wait = of.counts_by_need.at(index) > itself;
   of.forecasts.at(index).on_started(others_wait, now);
-  of.queue.on_started(started.priority, started.tenant);
+  of.queue.on_started(operation.priority, operation.tenant);
 }
 
-void service_queues::on_no_free_slot(const target& at, std::size_t places, common::Instant now) {
-  this->queue_of(at.service).forecasts.at(index_of(at.needs)).on_no_free_slot(places, now);
+void service_queues::on_no_free_slot(const target& at, std::size_t instances, common::Instant now) {
+  this->queue_of(at.service).forecasts.at(index_of(at.needs)).on_no_free_slot(instances, now);
 }
 
 void service_queues::on_no_instance(const target& at, common::Instant now) {
--- a/src/waiting/service_queues.h
+++ b/src/waiting/service_queues.h
@@ -56,7 +56,7 @@
    *
    * @param for_room  it waits for nothing but room at an instance
    */
-  void add(const std::string& service, const waiter& added, bool for_room);
+  void add(const std::string& service, const waiter& added, bool waits_only_for_slot);
 
   /** Takes a waiter out, if it waits. */
   void remove(waiter_number number);
@@ -65,17 +65,17 @@
   std::size_t size() const { return this->waiters.size(); }
 
   /** A waiter was tried again. @param for_room  as in add */
-  void set_waits_only_for_slot(waiter_number number, bool for_room);
+  void set_waits_only_for_slot(waiter_number number, bool waits_only_for_slot);
 
   /**
    * An operation started.
    *
    * @param started  of a waiter that is to be removed next, or one that never waited
    */
-  void on_started(const target& at, const started_operation& started, common::Instant now);
+  void on_started(const target& at, const started_operation& operation, common::Instant now);
 
   /** An operation found no room. @param places  see wait_forecast::note_blocked */
-  void on_no_free_slot(const target& at, std::size_t places, common::Instant now);
+  void on_no_free_slot(const target& at, std::size_t instances, common::Instant now);
 
   /** No instance may serve an operation. For one that needs the primary, this is a gap. */
   void on_no_instance(const target& at, common::Instant now);
--- a/src/waiting/trace.cc
+++ b/src/waiting/trace.cc
@@ -15,7 +15,7 @@
 
 constexpr double MICROSECONDS_IN_MILLISECOND = 1'000;
 constexpr const char* NO_TENANT = "-";
-constexpr std::size_t MOST_ARRIVALS = 1'000'000;
+constexpr std::size_t MAX_ARRIVALS = 1'000'000;
 
 using words = std::vector<std::string>;
 
@@ -28,28 +28,28 @@
   return found;
 }
 
-std::optional<double> number(const std::string& text) {
+std::optional<double> parse_number(const std::string& text) {
   double value = 0;
   const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), value);
   const bool whole = failure == std::errc() && end == text.data() + text.size();
   return whole && std::isfinite(value) && value >= 0 ? std::optional(value) : std::nullopt;
 }
 
-std::optional<common::Duration> milliseconds(const std::string& text) {
-  const auto value = number(text);
+std::optional<common::Duration> parse_milliseconds(const std::string& text) {
+  const auto value = parse_number(text);
   if (!value) {
     return std::nullopt;
   }
   return common::Duration(std::llround(*value * MICROSECONDS_IN_MILLISECOND));
 }
 
-std::string in_milliseconds(common::Duration duration) {
+std::string format_milliseconds(common::Duration duration) {
   std::ostringstream text;
   text << static_cast<double>(duration.count()) / MICROSECONDS_IN_MILLISECOND;
   return text.str();
 }
 
-std::optional<need> need_of(const std::string& text) {
+std::optional<need> parse_need(const std::string& text) {
   if (text == "any") {
     return need::any;
   }
@@ -59,27 +59,27 @@
 const char* name_of(need needs) { return needs == need::any ? "any" : "primary"; }
 
 /** @return the times of FROM..TO/STEP, FROM+COUNT or a single time; nothing if it is none. */
-std::optional<std::vector<common::Instant>> times_of(const std::string& text) {
+std::optional<std::vector<common::Instant>> parse_times(const std::string& text) {
   const std::size_t plus = text.find('+');
   const std::size_t dots = text.find("..");
   const std::size_t slash = text.find('/');
   if (plus != std::string::npos) {
-    const auto at = milliseconds(text.substr(0, plus));
-    const auto count = number(text.substr(plus + 1));
-    if (!at || !count || *count > MOST_ARRIVALS) {
+    const auto at = parse_milliseconds(text.substr(0, plus));
+    const auto count = parse_number(text.substr(plus + 1));
+    if (!at || !count || *count > MAX_ARRIVALS) {
       return std::nullopt;
     }
     return std::vector<common::Instant>(static_cast<std::size_t>(*count), *at);
   }
   if (dots == std::string::npos || slash == std::string::npos || slash < dots) {
-    const auto at = milliseconds(text);
+    const auto at = parse_milliseconds(text);
     return at ? std::optional(std::vector<common::Instant>{*at}) : std::nullopt;
   }
-  const auto from = milliseconds(text.substr(0, dots));
-  const auto until = milliseconds(text.substr(dots + 2, slash - dots - 2));
-  const auto step = milliseconds(text.substr(slash + 1));
+  const auto from = parse_milliseconds(text.substr(0, dots));
+  const auto until = parse_milliseconds(text.substr(dots + 2, slash - dots - 2));
+  const auto step = parse_milliseconds(text.substr(slash + 1));
   const bool valid = from && until && step && *step > common::Duration(0) && *until >= *from &&
-                     static_cast<std::size_t>((*until - *from) / *step) < MOST_ARRIVALS;
+                     static_cast<std::size_t>((*until - *from) / *step) < MAX_ARRIVALS;
   if (!valid) {
     return std::nullopt;
   }
@@ -90,9 +90,9 @@
   return times;
 }
 
-bool take_tenant(const words& line, trace& out) {
-  const auto rate = number(line[2]);
-  const auto priority = number(line[3]);
+bool parse_tenant(const words& line, trace& out) {
+  const auto rate = parse_number(line[2]);
+  const auto priority = parse_number(line[3]);
   if (!rate || !priority) {
     return false;
   }
@@ -103,9 +103,9 @@
   return true;
 }
 
-bool take_callers(const words& line, trace& out) {
-  const auto retries = number(line[1]);
-  const auto deadline = milliseconds(line[2]);
+bool parse_callers(const words& line, trace& out) {
+  const auto retries = parse_number(line[1]);
+  const auto deadline = parse_milliseconds(line[2]);
   if (!retries || !deadline) {
     return false;
   }
@@ -114,10 +114,10 @@
   return true;
 }
 
-bool take_capacity(const words& line, trace& out) {
-  const auto at = milliseconds(line[1]);
-  const auto needs = need_of(line[3]);
-  const auto slots = number(line[4]);
+bool parse_capacity(const words& line, trace& out) {
+  const auto at = parse_milliseconds(line[1]);
+  const auto needs = parse_need(line[3]);
+  const auto slots = parse_number(line[4]);
   if (!at || !needs || !slots) {
     return false;
   }
@@ -125,26 +125,26 @@
   return true;
 }
 
-bool take_arrival(const words& line, trace& out) {
-  const auto times = times_of(line[1]);
-  const auto needs = need_of(line[3]);
-  const auto priority = number(line[5]);
-  const auto target_latency = milliseconds(line[6]);
-  const auto hold = milliseconds(line[7]);
-  const auto work = milliseconds(line[8]);
-  if (!times || !needs || !priority || !target_latency || !hold || !work) {
+bool parse_arrival(const words& line, trace& out) {
+  const auto times = parse_times(line[1]);
+  const auto needs = parse_need(line[3]);
+  const auto priority = parse_number(line[5]);
+  const auto target_latency = parse_milliseconds(line[6]);
+  const auto max_wait = parse_milliseconds(line[7]);
+  const auto work = parse_milliseconds(line[8]);
+  if (!times || !needs || !priority || !target_latency || !max_wait || !work) {
     return false;
   }
   const std::string tenant = line[4] == NO_TENANT ? "" : line[4];
   for (const common::Instant at : *times) {
     out.arrivals.push_back({at, line[2], *needs, tenant, static_cast<std::uint32_t>(*priority),
-                            *target_latency, *hold, *work});
+                            *target_latency, *max_wait, *work});
   }
-  return out.arrivals.size() <= MOST_ARRIVALS;
+  return out.arrivals.size() <= MAX_ARRIVALS;
 }
 
-bool take_expectation(const words& line, trace& out) {
-  const auto value = number(line[4]);
+bool parse_expectation(const words& line, trace& out) {
+  const auto value = parse_number(line[4]);
   const bool at_least = line[3] == "at_least";
   if (!value || (!at_least && line[3] != "at_most")) {
     return false;
@@ -156,15 +156,15 @@
 /** A kind of line: how many words it has, and who reads it. */
 struct line_kind {
   std::size_t word_count = 0;
-  bool (*take)(const words& line, trace& out) = nullptr;
+  bool (*parse)(const words& line, trace& out) = nullptr;
 };
 
 const std::map<std::string, line_kind>& line_kinds() {
-  static const std::map<std::string, line_kind> KINDS = {{"tenant", {4, take_tenant}},
-                                                         {"callers", {3, take_callers}},
-                                                         {"capacity", {5, take_capacity}},
-                                                         {"arrive", {9, take_arrival}},
-                                                         {"expect", {5, take_expectation}}};
+  static const std::map<std::string, line_kind> KINDS = {{"tenant", {4, parse_tenant}},
+                                                         {"callers", {3, parse_callers}},
+                                                         {"capacity", {5, parse_capacity}},
+                                                         {"arrive", {9, parse_arrival}},
+                                                         {"expect", {5, parse_expectation}}};
   return KINDS;
 }
 
@@ -184,7 +184,7 @@
     if (kind == line_kinds().end()) {
       return trace_error{line_number, "unknown word " + line.front()};
     }
-    if (line.size() != kind->second.word_count || !kind->second.take(line, out)) {
+    if (line.size() != kind->second.word_count || !kind->second.parse(line, out)) {
       return trace_error{line_number, "not a valid line of " + line.front()};
     }
   }
@@ -195,15 +195,15 @@
 }
 
 std::string format(const arrival& of) {
-  return "arrive " + in_milliseconds(of.at) + " " + of.service + " " + name_of(of.needs) + " " +
+  return "arrive " + format_milliseconds(of.at) + " " + of.service + " " + name_of(of.needs) + " " +
          (of.tenant.empty() ? NO_TENANT : of.tenant) + " " + std::to_string(of.priority) + " " +
-         in_milliseconds(of.target_latency) + " " + in_milliseconds(of.max_wait) + " " +
-         in_milliseconds(of.work);
+         format_milliseconds(of.target_latency) + " " + format_milliseconds(of.max_wait) + " " +
+         format_milliseconds(of.work);
 }
 
 std::string format(const capacity_change& of) {
-  return "capacity " + in_milliseconds(of.at) + " " + of.service + " " + name_of(of.needs) + " " +
-         std::to_string(of.slots);
+  return "capacity " + format_milliseconds(of.at) + " " + of.service + " " + name_of(of.needs) +
+         " " + std::to_string(of.slots);
 }
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/wait_forecast.cc
+++ b/src/waiting/wait_forecast.cc
@@ -14,7 +14,7 @@
 using tenants::MICROSECONDS_IN_SECOND;
 
 /** @return what is left of something after a time. */
-double left_after(common::Duration elapsed) {
+double decay_factor(common::Duration elapsed) {
   return std::exp(-in_seconds(elapsed) / in_seconds(DECAY_TIME_CONSTANT));
 }
 
@@ -29,11 +29,11 @@
   if (elapsed <= common::Duration(0)) {
     return this->observed;
   }
-  const double left = left_after(elapsed);
-  tally result{this->observed.starts * left, this->observed.seconds * left};
+  const double factor = decay_factor(elapsed);
+  tally result{this->observed.starts * factor, this->observed.seconds * factor};
   if (this->saturated) {
     result.seconds +=
-        in_seconds(DECAY_TIME_CONSTANT) * (1 - left_after(std::min(elapsed, MAX_EVENT_INTERVAL)));
+        in_seconds(DECAY_TIME_CONSTANT) * (1 - decay_factor(std::min(elapsed, MAX_EVENT_INTERVAL)));
   }
   return result;
 }
@@ -43,15 +43,16 @@
   this->observed_at = now;
 }
 
-void wait_forecast::on_no_free_slot(std::size_t places, common::Instant now) {
+void wait_forecast::on_no_free_slot(std::size_t instances, common::Instant now) {
   this->advance(now);
   this->saturated = true;
-  const bool more = places > this->max_instances;
-  if (more && this->max_instances > 0) {
+  const bool grown = instances > this->max_instances;
+  if (grown && this->max_instances > 0) {
     this->observed = {};  // an instance has come: what is known is of fewer
   }
-  if (places >= this->max_instances || now >= this->max_instances_at + INSTANCE_COUNT_RETENTION) {
-    this->max_instances = places;
+  if (instances >= this->max_instances ||
+      now >= this->max_instances_at + INSTANCE_COUNT_RETENTION) {
+    this->max_instances = instances;
     this->max_instances_at = now;
   }
 }
@@ -73,16 +74,16 @@
 
 std::optional<turn_estimate> wait_forecast::estimate_turn(std::size_t position,
                                                           common::Instant now) const {
-  const tally known = this->decayed(now);
-  if (known.starts < MIN_STARTS || known.seconds < in_seconds(MIN_SATURATED_TIME)) {
+  const tally current = this->decayed(now);
+  if (current.starts < MIN_STARTS || current.seconds < in_seconds(MIN_SATURATED_TIME)) {
     return std::nullopt;
   }
   const auto turns = static_cast<double>(position);
   // Starts are counted as a Poisson process: its variance is its mean.
-  const double rate = known.starts / known.seconds;
-  const double lucky_rate = (known.starts + std::sqrt(known.starts)) / known.seconds;
-  const double lucky_turns = turns - std::sqrt(turns);
-  return turn_estimate{from_seconds(turns / rate), from_seconds(lucky_turns / lucky_rate)};
+  const double rate = current.starts / current.seconds;
+  const double high_rate = (current.starts + std::sqrt(current.starts)) / current.seconds;
+  const double few_turns = turns - std::sqrt(turns);
+  return turn_estimate{from_seconds(turns / rate), from_seconds(few_turns / high_rate)};
 }
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/wait_forecast.h
+++ b/src/waiting/wait_forecast.h
@@ -49,7 +49,7 @@
    *
    * @param places  number of instances that could serve it, but for the want of room
    */
-  void on_no_free_slot(std::size_t places, common::Instant now);
+  void on_no_free_slot(std::size_t instances, common::Instant now);
 
   /** No instance could serve an operation, and none can serve any like it: a gap. */
   void on_outage(common::Instant now);
--- a/tests/waiting/fair_queue_test.cc
+++ b/tests/waiting/fair_queue_test.cc
@@ -116,12 +116,12 @@
 
 TEST_CASE("What starts past the queue is charged to its tenant", "[waiting]") {
   queue_fixture fixture;
-  const waiter late = fixture.add("small");
+  const waiter small = fixture.add("small");
   for (int i = 0; i < 4; ++i) {
     fixture.queue.on_started(0, "small");
   }
   const waiter other = fixture.add("later");
-  CHECK(fixture.order() == numbers{other.number, late.number});
+  CHECK(fixture.order() == numbers{other.number, small.number});
 }
 
 TEST_CASE("A tenant's priority scales its weight, and a low one is not starved", "[waiting]") {
@@ -133,8 +133,8 @@
 TEST_CASE("Work for no tenant has the weight of a usual tenant", "[waiting]") {
   queue_fixture fixture;
   CHECK(fixture.weights.of("") == 15);
-  tenant_weights without;
-  CHECK(without.of("") == 1);
+  tenant_weights no_tenants;
+  CHECK(no_tenants.of("") == 1);
 }
 
 TEST_CASE("Within a tenant, who has less time left goes first", "[waiting]") {
@@ -154,10 +154,10 @@
 
 TEST_CASE("Who leaves the queue without a start is not charged", "[waiting]") {
   queue_fixture fixture;
-  const waiter gone = fixture.add("small");
+  const waiter removed = fixture.add("small");
   fixture.add("large");
   fixture.add("small");
-  fixture.queue.remove(gone);
+  fixture.queue.remove(removed);
   CHECK(fixture.order() == numbers{2, 3});
   CHECK(fixture.queue.size() == 2);
 }
--- a/tests/waiting/recorder_test.cc
+++ b/tests/waiting/recorder_test.cc
@@ -12,7 +12,7 @@
 constexpr common::Duration MILLISECOND{1'000};
 constexpr common::Instant START{900'000'000};
 
-arrival came(common::Duration at, common::Duration work) {
+arrival make_arrival(common::Duration at, common::Duration work) {
   arrival made;
   made.at = START + at;
   made.service = "ledger";
@@ -32,8 +32,8 @@
 
 TEST_CASE("Operations are recorded in the order in which they came", "[waiting]") {
   trace_recorder recorder;
-  recorder.on_operation_ended(came(30 * MILLISECOND, 10 * MILLISECOND));
-  recorder.on_operation_ended(came(5 * MILLISECOND, 40 * MILLISECOND));
+  recorder.on_operation_ended(make_arrival(30 * MILLISECOND, 10 * MILLISECOND));
+  recorder.on_operation_ended(make_arrival(5 * MILLISECOND, 40 * MILLISECOND));
   const trace read = recorded(recorder);
   REQUIRE(read.arrivals.size() == 2);
   CHECK(read.arrivals.front().at == common::Instant(0));
@@ -43,9 +43,9 @@
 
 TEST_CASE("What never started is given the mean work of those that did", "[waiting]") {
   trace_recorder recorder;
-  recorder.on_operation_ended(came(MILLISECOND, 10 * MILLISECOND));
-  recorder.on_operation_ended(came(2 * MILLISECOND, 30 * MILLISECOND));
-  recorder.on_operation_ended(came(3 * MILLISECOND, common::Duration(0)));
+  recorder.on_operation_ended(make_arrival(MILLISECOND, 10 * MILLISECOND));
+  recorder.on_operation_ended(make_arrival(2 * MILLISECOND, 30 * MILLISECOND));
+  recorder.on_operation_ended(make_arrival(3 * MILLISECOND, common::Duration(0)));
   CHECK(recorded(recorder).arrivals.back().work == 20 * MILLISECOND);
 }
 
@@ -61,12 +61,12 @@
   trace_recorder recorder;
   recorder.on_capacity({START, "ledger", need::any, 1});
   for (int i = 0; i < 5; ++i) {
-    recorder.on_operation_ended(came(common::Duration(0), 30 * MILLISECOND));
+    recorder.on_operation_ended(make_arrival(common::Duration(0), 30 * MILLISECOND));
   }
-  const outcome played = total(replay(recorded(recorder), policy::baseline));
-  CHECK(played.callers == 5);
-  CHECK(played.in_time == 4);
-  CHECK(played.held_in_vain == 1);
+  const outcome total_outcome = total(replay(recorded(recorder), policy::baseline));
+  CHECK(total_outcome.callers == 5);
+  CHECK(total_outcome.in_time == 4);
+  CHECK(total_outcome.held_in_vain == 1);
 }
 
 }  // namespace valvekeel::waiting
--- a/tests/waiting/replay_test.cc
+++ b/tests/waiting/replay_test.cc
@@ -19,42 +19,43 @@
 }
 
 /** Requires all that the trace expects of the present decisions, and that the earlier ones miss. */
-void check_gain(const std::string& name) {
-  const trace played = load(name);
-  REQUIRE_FALSE(played.expectations.empty());
-  for (const expected_outcome& each : unmet_expectations(played, replay(played, policy::fair))) {
+void check_improvement(const std::string& name) {
+  const trace trace_input = load(name);
+  REQUIRE_FALSE(trace_input.expectations.empty());
+  for (const expected_outcome& each :
+       unmet_expectations(trace_input, replay(trace_input, policy::fair))) {
     FAIL_CHECK(name << " misses " << each.figure << " of " << each.tenant);
   }
-  CHECK(unmet_expectations(played, replay(played, policy::baseline)).size() ==
-        played.expectations.size());
+  CHECK(unmet_expectations(trace_input, replay(trace_input, policy::baseline)).size() ==
+        trace_input.expectations.size());
 }
 
 }  // namespace
 
 TEST_CASE("A tenant at seven times its rate takes nothing from small ones", "[waiting]") {
-  check_gain("large-tenant");
+  check_improvement("large-tenant");
 }
 
 TEST_CASE("Callers of a service that lost an instance are served in time or told at once",
           "[waiting]") {
-  check_gain("lost-instance-short-work");
+  check_improvement("lost-instance-short-work");
 }
 
 TEST_CASE("A queue behind a lost instance is short enough to be served", "[waiting]") {
-  const trace played = load("lost-instance");
-  const replay_result fair = replay(played, policy::fair);
-  CHECK(unmet_expectations(played, fair).empty());
-  const replay_result standing = replay(played, policy::baseline);
-  CHECK(total(fair).in_time > total(standing).in_time);
-  CHECK(total(fair).held_in_vain < total(standing).held_in_vain / 4);
+  const trace trace_input = load("lost-instance");
+  const replay_result fair = replay(trace_input, policy::fair);
+  CHECK(unmet_expectations(trace_input, fair).empty());
+  const replay_result baseline = replay(trace_input, policy::baseline);
+  CHECK(total(fair).in_time > total(baseline).in_time);
+  CHECK(total(fair).held_in_vain < total(baseline).held_in_vain / 4);
 }
 
 TEST_CASE("Callers that were refused together are all served in the end", "[waiting]") {
-  check_gain("return-at-once");
+  check_improvement("return-at-once");
 }
 
 TEST_CASE("What waits in a primary's gap is served after it", "[waiting]") {
-  check_gain("primary-gap");
+  check_improvement("primary-gap");
 }
 
 TEST_CASE("A trace that cannot be read names the line", "[waiting]") {
@@ -70,21 +71,21 @@
 }
 
 TEST_CASE("What is written of a trace is read again", "[waiting]") {
-  const arrival came{common::Instant(1'500),
-                     "ledger",
-                     need::primary,
-                     "",
-                     2,
-                     common::Duration(200'000),
-                     common::Duration(100'000),
-                     common::Duration(40'500)};
+  const arrival arrived{common::Instant(1'500),
+                        "ledger",
+                        need::primary,
+                        "",
+                        2,
+                        common::Duration(200'000),
+                        common::Duration(100'000),
+                        common::Duration(40'500)};
   const capacity_change change{common::Instant(2'000), "ledger", need::any, 12};
-  const auto parsed = parse_trace(format(came) + "\n" + format(change) + "\n");
+  const auto parsed = parse_trace(format(arrived) + "\n" + format(change) + "\n");
   REQUIRE(common::IsOk(parsed));
   const trace& read = common::ValueOf(parsed);
   REQUIRE(read.arrivals.size() == 1);
   REQUIRE(read.capacities.size() == 1);
-  CHECK(format(read.arrivals.front()) == format(came));
+  CHECK(format(read.arrivals.front()) == format(arrived));
   CHECK(format(read.capacities.front()) == format(change));
 }
 
@@ -98,8 +99,8 @@
 TEST_CASE("An expected figure that does not exist is missed", "[waiting]") {
   const auto parsed = parse_trace("expect * speed at_least 0\nexpect nobody late at_most 3\n");
   REQUIRE(common::IsOk(parsed));
-  const trace& played = common::ValueOf(parsed);
-  CHECK(unmet_expectations(played, replay(played, policy::fair)).size() == 2);
+  const trace& trace_input = common::ValueOf(parsed);
+  CHECK(unmet_expectations(trace_input, replay(trace_input, policy::fair)).size() == 2);
 }
 
 }  // namespace valvekeel::waiting
--- a/tests/waiting/retry_after_test.cc
+++ b/tests/waiting/retry_after_test.cc
@@ -38,12 +38,12 @@
   refused_attempt tried_before = refused_early();
   tried_before.since_first = 200 * MILLISECOND;
   CHECK(retry_after(tried_before) >= LATE_RETRY_AFTER);
-  refused_attempt far_back = refused_early();
-  far_back.expected_wait = 300 * MILLISECOND;
-  CHECK(retry_after(far_back) >= LATE_RETRY_AFTER);
-  refused_attempt tight = refused_early();
-  tight.target_latency = 200 * MILLISECOND;
-  CHECK(retry_after(tight) >= LATE_RETRY_AFTER);
+  refused_attempt long_queue = refused_early();
+  long_queue.expected_wait = 300 * MILLISECOND;
+  CHECK(retry_after(long_queue) >= LATE_RETRY_AFTER);
+  refused_attempt short_target = refused_early();
+  short_target.target_latency = 200 * MILLISECOND;
+  CHECK(retry_after(short_target) >= LATE_RETRY_AFTER);
 }
 
 TEST_CASE("The time to come back is bounded both ways", "[waiting]") {
@@ -67,8 +67,8 @@
   refused_attempt refused = refused_early();
   refused.expected_wait = std::chrono::hours(1);
   for (refused.session = 1; refused.session <= CALLERS; ++refused.session) {
-    const common::Duration late = retry_after(refused) - LATE_RETRY_AFTER;
-    ++by_slot.at(static_cast<std::size_t>(late * SLOTS / LATE_RETRY_AFTER));
+    const common::Duration extra_delay = retry_after(refused) - LATE_RETRY_AFTER;
+    ++by_slot.at(static_cast<std::size_t>(extra_delay * SLOTS / LATE_RETRY_AFTER));
   }
   CHECK(*std::max_element(by_slot.begin(), by_slot.end()) < CALLERS / 4);
   CHECK(retry_after(refused) == retry_after(refused));
--- a/tests/waiting/service_queues_test.cc
+++ b/tests/waiting/service_queues_test.cc
@@ -9,7 +9,7 @@
 
 constexpr common::Duration MILLISECOND{1'000};
 constexpr common::Duration TICK = 10 * MILLISECOND;
-constexpr common::Duration HOLD = 100 * MILLISECOND;
+constexpr common::Duration MAX_WAIT = 100 * MILLISECOND;
 const std::string SERVICE = "ledger";
 
 /** Queues of a service that has started 50 operations a second for 2 s while others waited. */
@@ -26,20 +26,20 @@
     queues.remove(1);
   }
 
-  waiter_number add(bool for_room = true) {
+  waiter_number add(bool waits_only_for_slot = true) {
     waiter added;
-    added.number = ++last;
+    added.number = ++last_number;
     added.arrived = now;
-    added.queue_deadline = now + HOLD;
+    added.queue_deadline = now + MAX_WAIT;
     added.needs = at.needs;
-    queues.add(SERVICE, added, for_room);
+    queues.add(SERVICE, added, waits_only_for_slot);
     return added.number;
   }
 
   service_queues queues;
   target at;
   common::Instant now{10'000'000};
-  waiter_number last = 0;
+  waiter_number last_number = 0;
 };
 
 }  // namespace
@@ -54,7 +54,7 @@
   REQUIRE(found.size() > 28);
   REQUIRE(found.size() < 34);
   CHECK(found.front().number == 42 - found.size());
-  CHECK(found.front().expected_wait > HOLD);
+  CHECK(found.front().expected_wait > MAX_WAIT);
 }
 
 TEST_CASE("Those refused make no one wait", "[waiting]") {
--- a/tests/waiting/wait_forecast_test.cc
+++ b/tests/waiting/wait_forecast_test.cc
@@ -9,29 +9,29 @@
 
 constexpr common::Duration MILLISECOND{1'000};
 constexpr common::Duration TICK = 10 * MILLISECOND;
-constexpr std::size_t PLACES = 3;
-constexpr std::size_t FAR_BACK = 50;
+constexpr std::size_t INSTANCES = 3;
+constexpr std::size_t DISTANT_POSITION = 50;
 
 /** A crowded service that is looked at each tick. */
-struct crowded_service {
+struct saturated_service {
   /** Lets time pass; `lump` operations start after each `interval`. */
-  void run(common::Duration time, common::Duration interval, int lump = 1,
-           std::size_t places = PLACES) {
+  void run(common::Duration time, common::Duration interval, int burst = 1,
+           std::size_t instances = INSTANCES) {
     const common::Instant end = now + time;
     while (now < end) {
       now += TICK;
       since_start += TICK;
       for (; since_start >= interval; since_start -= interval) {
-        for (int i = 0; i < lump; ++i) {
+        for (int i = 0; i < burst; ++i) {
           forecast.on_started(true, now);
         }
       }
-      forecast.on_no_free_slot(places, now);
+      forecast.on_no_free_slot(instances, now);
     }
   }
 
   /** @return the time of the likely turn, negative if it is not known. */
-  common::Duration likely(std::size_t position) const {
+  common::Duration expected_wait(std::size_t position) const {
     const auto expected = forecast.estimate_turn(position, now);
     return expected ? expected->expected : common::Duration(-1);
   }
@@ -44,98 +44,98 @@
 }  // namespace
 
 TEST_CASE("A place in the queue has the time of the starts before it", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
-  CHECK(service.likely(10) > 180 * MILLISECOND);
-  CHECK(service.likely(10) < 220 * MILLISECOND);
+  CHECK(service.expected_wait(10) > 180 * MILLISECOND);
+  CHECK(service.expected_wait(10) < 220 * MILLISECOND);
   const auto expected = service.forecast.estimate_turn(10, service.now);
   CHECK(expected->earliest < 140 * MILLISECOND);
 }
 
 TEST_CASE("The next in the queue is never forecast to come too late", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 100 * MILLISECOND);
   CHECK(service.forecast.estimate_turn(1, service.now)->earliest == common::Duration(0));
 }
 
 TEST_CASE("Nothing is forecast while too little is known", "[waiting]") {
-  crowded_service service;
-  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
+  saturated_service service;
+  CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
   service.run(90 * MILLISECOND, 20 * MILLISECOND);
-  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
+  CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
   service.run(30 * MILLISECOND, 20 * MILLISECOND);
-  CHECK(service.forecast.estimate_turn(FAR_BACK, service.now));
+  CHECK(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
 TEST_CASE("Two starts tell no rate", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(300 * MILLISECOND, 150 * MILLISECOND);
-  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
+  CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
 TEST_CASE("Starts without a crowd tell nothing of what the instances can do", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   for (int i = 0; i < 100; ++i) {
     service.now += TICK;
     service.forecast.on_started(false, service.now);
   }
   service.run(std::chrono::milliseconds(400), 40 * MILLISECOND);
-  CHECK(service.likely(10) > 350 * MILLISECOND);
+  CHECK(service.expected_wait(10) > 350 * MILLISECOND);
 }
 
 TEST_CASE("A quiet time is not taken for a slow service", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
-  const common::Duration before = service.likely(10);
+  const common::Duration before = service.expected_wait(10);
   service.forecast.on_started(false, service.now);
   service.now += 400 * MILLISECOND;
-  service.forecast.on_no_free_slot(PLACES, service.now);
-  CHECK(service.likely(10) < before * 11 / 10);
+  service.forecast.on_no_free_slot(INSTANCES, service.now);
+  CHECK(service.expected_wait(10) < before * 11 / 10);
 }
 
 TEST_CASE("Time since the last start lengthens the forecast", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
-  const common::Duration before = service.likely(10);
+  const common::Duration before = service.expected_wait(10);
   service.run(300 * MILLISECOND, std::chrono::seconds(100));
-  CHECK(service.likely(10) > before * 5 / 4);
+  CHECK(service.expected_wait(10) > before * 5 / 4);
 }
 
 TEST_CASE("A gap without a primary forgets the rate", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND, 1, 1);
   service.forecast.on_outage(service.now);
   service.now += 700 * MILLISECOND;
   service.forecast.on_no_free_slot(1, service.now);
-  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
+  CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
 TEST_CASE("An instance that comes back forgets the rate without it", "[waiting]") {
-  crowded_service service;
-  service.run(std::chrono::seconds(2), 20 * MILLISECOND, 1, PLACES - 1);
-  service.forecast.on_no_free_slot(PLACES, service.now);
-  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
+  saturated_service service;
+  service.run(std::chrono::seconds(2), 20 * MILLISECOND, 1, INSTANCES - 1);
+  service.forecast.on_no_free_slot(INSTANCES, service.now);
+  CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
 TEST_CASE("An instance that was away and comes back is noticed", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
-  service.run(INSTANCE_COUNT_RETENTION + 2 * TICK, 30 * MILLISECOND, 1, PLACES - 1);
-  CHECK(service.forecast.estimate_turn(FAR_BACK, service.now));
-  service.forecast.on_no_free_slot(PLACES, service.now);
-  CHECK_FALSE(service.forecast.estimate_turn(FAR_BACK, service.now));
+  service.run(INSTANCE_COUNT_RETENTION + 2 * TICK, 30 * MILLISECOND, 1, INSTANCES - 1);
+  CHECK(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
+  service.forecast.on_no_free_slot(INSTANCES, service.now);
+  CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
 TEST_CASE("An operation with fewer instances to choose from changes nothing", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   service.forecast.on_no_free_slot(1, service.now);
-  service.forecast.on_no_free_slot(PLACES, service.now);
-  CHECK(service.forecast.estimate_turn(FAR_BACK, service.now));
+  service.forecast.on_no_free_slot(INSTANCES, service.now);
+  CHECK(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
 TEST_CASE("A queue that moves in lumps has its mean rate", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(3), 200 * MILLISECOND, 10);
   for (int tick = 0; tick < 20; ++tick) {
     service.run(TICK, 200 * MILLISECOND, 10);
@@ -145,12 +145,12 @@
 }
 
 TEST_CASE("A process that stood still does not take its own pause for the service's", "[waiting]") {
-  crowded_service service;
+  saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
-  const common::Duration before = service.likely(10);
+  const common::Duration before = service.expected_wait(10);
   service.now += 500 * MILLISECOND;
-  service.forecast.on_no_free_slot(PLACES, service.now);
-  CHECK(service.likely(10) < before * 11 / 10);
+  service.forecast.on_no_free_slot(INSTANCES, service.now);
+  CHECK(service.expected_wait(10) < before * 11 / 10);
 }
 
 }  // namespace valvekeel::waiting
