--- a/src/waiting/fair_queue.cc
+++ b/src/waiting/fair_queue.cc
@@ -1,4 +1,4 @@
-// Start-time fair queueing among the tenants of a priority.
+// Implements start-time fair queueing among the tenants of a priority.
 
 #include "waiting/fair_queue.h"
 
@@ -19,12 +19,12 @@
   return made;
 }
 
-/** @return true if a goes before b among the waiters of one tenant. */
+/** @return true if a comes before b among the waiters of one tenant. */
 bool precedes_in_tenant(const queue_entry& a, const queue_entry& b) {
   return std::tie(a.rank, a.arrived, a.number) < std::tie(b.rank, b.arrived, b.number);
 }
 
-/** @return true if a goes before b among the waiters of one priority. */
+/** @return true if a comes before b among the waiters of one priority. */
 bool precedes_in_priority(const queue_entry& a, const queue_entry& b) {
   return std::tie(a.start_tag, a.queue_deadline, a.arrived, a.number) <
          std::tie(b.start_tag, b.queue_deadline, b.arrived, b.number);
--- a/src/waiting/fair_queue.h
+++ b/src/waiting/fair_queue.h
@@ -1,14 +1,16 @@
 /**
- * @file The order of the operations that wait for one service at this daemon.
+ * @file Orders the operations that wait for one service at this daemon.
  *
- * Routes' priorities go first, strictly. Within a priority the tenants share by weight (start-time
- * fair queueing): each has a start tag that rises by 1/weight with every start of its operations,
- * and the lowest tag goes next. A tenant that was not waiting begins at the virtual time, the
- * highest tag that started, so a rest earns nothing. Within a tenant, who has less time left goes
- * first; work for no tenant goes by target latency, then arrival.
+ * Priorities of routes are strict. Within a priority, the tenants share the starts by weight
+ * (start-time fair queueing). Each tenant has a start tag, which grows by 1/weight with each start
+ * of one of its operations, and the lowest tag goes first. A tenant that had no waiters begins at
+ * the virtual time, which is the highest tag that was started, so idle time earns no credit. Within
+ * a tenant, the earliest queue deadline goes first. Operations without a tenant are ordered by
+ * target latency, then by arrival.
  *
- * Owns: the waiters by priority and tenant, and the tags. Invariant: there is no virtual time while
- * nobody waits: state is bounded by the waiters of a crowded spell. Pure. Thread: its host's.
+ * Owns: the waiters by priority and tenant, and the tags. Invariant: tags and virtual times are
+ * discarded when the queue is empty, which bounds the state by the tenants seen since then. No I/O
+ * and no clock; not thread-safe.
  */
 #pragma once
 
@@ -23,31 +25,31 @@
 
 namespace valvekeel::waiting {
 
-/** Number of a waiter, unique among those that wait; a session waits with one operation. */
+/** Number of a waiter, unique among the waiters. A session has at most one waiting operation. */
 using waiter_number = std::uint64_t;
 
-/** Which instances an operation waits for. */
+/** The instances that can serve an operation. */
 enum class need : std::uint8_t {
-  any,      // one that may serve reads
-  primary,  // the primary alone
+  any,      // any instance that may serve reads
+  primary,  // only the primary
 };
 
 /** An operation that waits. */
 struct waiter {
   waiter_number number = 0;
-  std::string tenant;          // for whom it runs; empty: for none
+  std::string tenant;          // empty: none
   std::uint32_t priority = 0;  // of its route; 0 goes first
   common::Duration target_latency{0};
   common::Instant arrived{0};
-  common::Instant queue_deadline{0};  // refused if it did not start by then
+  common::Instant queue_deadline{0};  // refused if not started by then
   need needs = need::any;
 };
 
-/** A waiter's place in the order. */
+/** A waiter as an entry of the queue. */
 struct queue_entry {
   std::uint32_t priority = 0;
   double start_tag = 0;      // virtual time at which it would start
-  common::Duration rank{0};  // within a tenant: end of the hold time, or the target latency
+  common::Duration rank{0};  // within a tenant: queue deadline; without a tenant: target latency
   common::Instant arrived{0};
   waiter_number number = 0;
   common::Instant queue_deadline{0};
@@ -56,22 +58,23 @@
 
 class fair_queue {
  public:
-  /** @param weights  of the tenants; they outlive the queue */
+  /** @param weights  of the tenants; must outlive the queue */
   explicit fair_queue(const tenant_weights& weights) : weights(&weights) {}
 
-  /** Adds a waiter whose number does not wait yet. */
+  /** Adds a waiter; its number must not be in the queue yet. */
   void add(const waiter& added);
 
-  /** Takes a waiter out, started or not. @param removed  as it was added */
+  /** Removes a waiter, started or not. @param removed  the same values as in add */
   void remove(const waiter& removed);
 
-  /** An operation started, from the queue or past it: its tenant's share is charged. */
+  /** Charges the start of an operation to its tenant, whether it was in the queue or not. Does
+   * nothing while the queue is empty. */
   void on_started(std::uint32_t priority, const std::string& tenant);
 
   bool empty() const { return this->waiter_count == 0; }
   std::size_t size() const { return this->waiter_count; }
 
-  /** Appends all waiters in the order in which they should be tried. */
+  /** Appends all waiters in the order in which they should be started. */
   void append_order(std::vector<queue_entry>& out) const;
 
  private:
@@ -79,7 +82,7 @@
   struct flow {
     double weight = 1;
     double start_tag = 0;              // of its first waiter
-    std::vector<queue_entry> waiters;  // in the tenant's own order; tags are not used here
+    std::vector<queue_entry> waiters;  // in the tenant's own order; their tags are unset
   };
   /** The flows of one priority. */
   struct level {
--- a/src/waiting/recorder.cc
+++ b/src/waiting/recorder.cc
@@ -1,4 +1,4 @@
-// What was seen of a daemon's load, as lines of a trace.
+// Collects the load of a daemon and writes it as lines of a trace.
 
 #include "waiting/recorder.h"
 
--- a/src/waiting/recorder.h
+++ b/src/waiting/recorder.h
@@ -1,12 +1,12 @@
 /**
  * @file Records the load of a daemon as a trace (trace.h) that can be replayed.
  *
- * What is recorded is an approximation: a statement that never ran is given the mean work of those
- * that did, a transaction counts as its first statement, capacity is what the limits in flight
- * allowed. Attempts of one caller are not told apart.
+ * The trace is an approximation. A statement that never ran gets the mean execution time of those
+ * that did. A transaction counts as its first statement. The capacity is the sum of the in-flight
+ * limits. Each retry of a caller is recorded as a caller of its own.
  *
- * Owns: what was seen. Invariant: times in the trace begin with the first event. Pure. Thread: its
- * host's.
+ * Owns: the recorded events. Invariant: times in the trace are relative to the first event. No I/O
+ * and no clock; not thread-safe.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
 
 namespace valvekeel::waiting {
 
-/** Hears of load. */
+/** Receives the load of a daemon. */
 class load_observer {
  public:
   load_observer() = default;
@@ -29,10 +29,11 @@
   load_observer& operator=(const load_observer&) = delete;
   virtual ~load_observer() = default;
 
-  /** An operation ended. @param came  with the time it ran for; 0 if it never started */
+  /** An operation ended. @param ended  its work is the time for which it ran, 0 if it never started
+   */
   virtual void on_operation_ended(const arrival& ended) = 0;
 
-  /** So many statements may run at once now; told again and again. */
+  /** The number of statements that may run at once; also called while it does not change. */
   virtual void on_capacity(const capacity_change& change) = 0;
 };
 
@@ -43,11 +44,11 @@
 
   std::size_t operations() const { return this->arrivals.size(); }
 
-  /** @return the trace. */
+  /** @return the trace in the format of trace.h. */
   std::string text() const;
 
  private:
-  /** Time that operations ran for. */
+  /** Sum of the execution times of operations. */
   struct work_sum {
     common::Duration time{0};
     std::int64_t count = 0;
--- a/src/waiting/replay.cc
+++ b/src/waiting/replay.cc
@@ -1,4 +1,4 @@
-// Replay of a load, a millisecond at a time.
+// Simulates the load of a trace in steps of a millisecond.
 
 #include "waiting/replay.h"
 
@@ -17,18 +17,19 @@
 namespace {
 
 constexpr common::Duration STEP{1'000};
-/** How often a daemon looks at who waits. */
+/** Interval at which a daemon checks its queued operations. */
 constexpr common::Duration TICK{10'000};
-/** Time that all refused callers were told before. */
+/** Retry-after time of every refusal under the baseline policy. */
 constexpr common::Duration BASELINE_RETRY_AFTER{250'000};
 constexpr std::size_t NEED_COUNT = 2;
-/** Callers come up to so many steps later than told, as their links and timers have it. Without
- * this all that return do so at a tick, and the phase decides who is served. */
+/** Callers retry fewer than this many steps late, because of their network links and timers.
+ * Without the delay all retries arrive at a tick, and the phase decides which of them are served.
+ */
 constexpr std::uint64_t MAX_DELAY_STEPS = 20;
-/** More than the attempts of a caller. */
+/** Above the number of attempts of a caller, so that each attempt has its own hash. */
 constexpr std::uint64_t MAX_ATTEMPTS = 64;
 
-/** One caller through all its attempts. */
+/** A caller over all its attempts. */
 struct caller {
   const arrival* request = nullptr;
   std::uint32_t attempts = 0;
@@ -36,13 +37,13 @@
   bool waits_only_for_slot = false;
 };
 
-/** The slots of a service's instances for one need. */
+/** Slots of a service for one need. */
 struct slot_usage {
   std::size_t capacity = 0;
   std::size_t running = 0;
 };
 
-/** Something that happens to a caller at a time. */
+/** A scheduled event of a caller. */
 struct caller_event {
   common::Instant at{0};
   std::size_t caller = 0;
@@ -95,7 +96,7 @@
 
   static target target_of(const caller& of) { return {of.request->service, of.request->needs}; }
 
-  /** @return the tenant by which the caller is queued. */
+  /** @return the tenant under which the caller is queued; the baseline queues without tenants. */
   std::string tenant_for_queue(const caller& of) const {
     return this->is_fair() ? of.request->tenant : std::string();
   }
@@ -241,7 +242,7 @@
     }
   }
 
-  /** @return the time that a refused caller is told. */
+  /** @return the retry-after time of a refused caller. */
   common::Duration retry_after_of(std::size_t number,
                                   const std::optional<common::Duration>& expected_wait,
                                   common::Instant now) const {
@@ -258,7 +259,7 @@
     return retry_after(attempt);
   }
 
-  /** @return how much later than told a caller comes. */
+  /** @return how much later than its retry-after time a caller retries. */
   common::Duration extra_delay_of(std::size_t number) const {
     const std::uint64_t attempt = number * MAX_ATTEMPTS + this->callers.at(number).attempts;
     return STEP * static_cast<std::int64_t>(common::MixHash(attempt) % MAX_DELAY_STEPS);
@@ -271,7 +272,7 @@
   std::map<std::string, std::array<slot_usage, NEED_COUNT>> usage_by_service;
   event_queue pending_attempts;
   event_queue completions;
-  std::queue<common::Instant> recent_retries;  // in the last RETURN_WINDOW
+  std::queue<common::Instant> recent_retries;  // within the last RETRY_WINDOW
   std::size_t next_capacity = 0;
   replay_result result;
 };
--- a/src/waiting/retry_after.cc
+++ b/src/waiting/retry_after.cc
@@ -1,4 +1,5 @@
-// The time until the queue would take a caller, spread so that not all come at once.
+// Computes retry-after times from the expected wait, spread by session so that callers that are
+// refused together do not retry together.
 
 #include "waiting/retry_after.h"
 
@@ -9,11 +10,12 @@
 namespace valvekeel::waiting {
 namespace {
 
-/** Steps in which the times of callers that are refused together differ. */
+/** Number of different times among callers that are refused together. */
 constexpr std::uint64_t SPREAD_STEPS = 1'024;
 
-/** @return true if an attempt after the pause may start in time for the target latency, even if it
- * waits for the whole of its hold time again. The pause is stretched by a half in the mean. */
+/** @return true if a retry after the delay can start early enough for the target latency, even if
+ * it stays in the queue for the whole of max_wait again. The spread lengthens the delay by half on
+ * average. */
 bool can_meet_target(const refused_attempt& refused, common::Duration delay) {
   const common::Duration start = refused.since_first + delay * 3 / 2 + refused.max_wait;
   const double latest = LATEST_START_FRACTION * static_cast<double>(refused.target_latency.count());
--- a/src/waiting/retry_after.h
+++ b/src/waiting/retry_after.h
@@ -1,11 +1,11 @@
 /**
- * @file When a caller that was refused should come back.
+ * @file Computes the retry-after time that a refused caller is given.
  *
- * Soon, if it can then still be served within its target latency; else so late that it leaves room
- * to those who can.
+ * The time is short if the caller can then still be served within its target latency. Otherwise it
+ * is long, so that the slots go to callers that can still be served in time.
  *
- * Owns: nothing. Invariant: the time lies between SHORTEST_COME_BACK and twice LATE_COME_BACK, and
- * callers refused together are told different times. Pure. Thread: any.
+ * The time lies between MIN_RETRY_AFTER and twice LATE_RETRY_AFTER, and callers that are refused
+ * together get different times. No I/O and no clock; safe to call from any thread.
  */
 #pragma once
 
@@ -16,31 +16,32 @@
 
 namespace valvekeel::waiting {
 
-/** Sooner, and a caller meets the same queue: a few answers' length. */
+/** Shortest time, a few times the duration of an operation. A caller that retries sooner finds the
+ * same queue. */
 inline constexpr common::Duration MIN_RETRY_AFTER{50'000};
 
-/** For who will be late anyway. Two more tries, each stretched to twice this, fit a deadline of
- * 2 s; the callers' deadlines are 1 to 10 s, and they try twice more. */
+/** For callers that will miss their target latency anyway. Callers have deadlines of 1 to 10 s and
+ * retry twice. Two retries, each spread to at most twice this time, fit into a deadline of 2 s. */
 inline constexpr common::Duration LATE_RETRY_AFTER{400'000};
 
-/** Without a forecast. Stretched it is 255 ms in the mean: about what a replaced primary takes
- * after the hold time of those who waited for it. */
+/** Used without a forecast. With the spread it is 255 ms on average: about how long the replacement
+ * of a primary still takes once the queue time of the callers waiting for it is over. */
 inline constexpr common::Duration DEFAULT_RETRY_AFTER{170'000};
 
-/** Part of the target latency by which a caller has to start that is to be served in time: the rest
- * is the instance's. */
+/** Fraction of the target latency within which an operation has to start to be served in time. The
+ * rest is for its execution at the instance. */
 inline constexpr double LATEST_START_FRACTION = 0.8;
 
 /** An attempt that was refused. */
 struct refused_attempt {
-  std::uint64_t session = 0;           // others are told other times
-  common::Duration since_first{0};     // since the caller's first attempt, if it is known
-  common::Duration max_wait{0};        // for how long it may wait, now and again
-  common::Duration target_latency{0};  // from the first attempt to the answer
-  std::optional<common::Duration> expected_wait;  // until the turn of one that came now, if known
+  std::uint64_t session = 0;                      // spreads the times of different sessions
+  common::Duration since_first{0};                // since the caller's first attempt, if known
+  common::Duration max_wait{0};                   // longest time in the queue, for each attempt
+  common::Duration target_latency{0};             // from the first attempt to the answer
+  std::optional<common::Duration> expected_wait;  // of an operation that arrives now, if known
 };
 
-/** @return the time until its caller should come back. */
+/** @return the time after which the caller should retry. */
 common::Duration retry_after(const refused_attempt& refused);
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/service_queues.cc
+++ b/src/waiting/service_queues.cc
@@ -1,4 +1,4 @@
-// Queues and forecasts by service.
+// Keeps a queue and forecasts for each service.
 
 #include "waiting/service_queues.h"
 
@@ -88,7 +88,7 @@
 void service_queues::append_late_waiters(const service_queue& of, common::Instant now) {
   this->scan_buffer.clear();
   of.queue.append_order(this->scan_buffer);
-  std::array<std::size_t, 2> ahead{};  // by need; those refused now leave their place
+  std::array<std::size_t, 2> ahead{};  // by need; without those that are refused now
   for (const queue_entry& each : this->scan_buffer) {
     if (!this->waiters.at(each.number).waits_only_for_slot) {
       continue;
--- a/src/waiting/service_queues.h
+++ b/src/waiting/service_queues.h
@@ -1,8 +1,8 @@
 /**
- * @file All operations that wait at this daemon: their order, and who waits in vain.
+ * @file Queues the operations that wait at this daemon and finds those that cannot start in time.
  *
  * Owns: a queue (fair_queue.h) and forecasts (wait_forecast.h) for each service. Invariant: a
- * number waits once, for one service. Pure. Thread: its host's.
+ * waiter's number is in one queue at most. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -34,7 +34,7 @@
   const std::string& tenant;
 };
 
-/** A waiter whose turn will not come in time. */
+/** A waiter that is not expected to start before its queue deadline. */
 struct late_waiter {
   waiter_number number = 0;
   common::Duration expected_wait{0};
@@ -46,49 +46,52 @@
   service_queues(const service_queues&) = delete;
   service_queues& operator=(const service_queues&) = delete;
 
-  /** Takes the tenants of a new configuration; who waits keeps its weight. */
+  /** Applies the tenants of a new configuration. Tenants with state in a queue keep their weight
+   * until that queue is empty. */
   void set_tenants(const std::map<std::string, tenants::tenant>& tenants) {
     this->weights.set_tenants(tenants);
   }
 
   /**
-   * Adds a waiter; one that waits already stays where it is.
+   * Adds a waiter. One that is queued already keeps its position.
    *
-   * @param for_room  it waits for nothing but room at an instance
+   * @param waits_only_for_slot  an instance could serve it and lacks only a free slot
    */
   void add(const std::string& service, const waiter& added, bool waits_only_for_slot);
 
-  /** Takes a waiter out, if it waits. */
+  /** Removes a waiter; does nothing if it is not queued. */
   void remove(waiter_number number);
 
   bool empty() const { return this->waiters.empty(); }
   std::size_t size() const { return this->waiters.size(); }
 
-  /** A waiter was tried again. @param for_room  as in add */
+  /** Updates a waiter after another attempt to start it. The flag is as in add. */
   void set_waits_only_for_slot(waiter_number number, bool waits_only_for_slot);
 
   /**
    * An operation started.
    *
-   * @param started  of a waiter that is to be removed next, or one that never waited
+   * @param operation  of a waiter that the caller removes next, or one that was never queued
    */
   void on_started(const target& at, const started_operation& operation, common::Instant now);
 
-  /** An operation found no room. @param places  see wait_forecast::note_blocked */
+  /** All instances for an operation are full. @param instances  as in
+   * wait_forecast::on_no_free_slot */
   void on_no_free_slot(const target& at, std::size_t instances, common::Instant now);
 
-  /** No instance may serve an operation. For one that needs the primary, this is a gap. */
+  /** No instance may serve an operation. For one that needs the primary this is an outage; a read
+   * may only lack a fresh replica, which does not concern other reads. */
   void on_no_instance(const target& at, common::Instant now);
 
-  /** @return all waiters, service by service, each in the order in which they should be tried.
-   * Valid until the next call. */
+  /** @return all waiters, service by service, in the order in which they should be started. Valid
+   * until the next call. */
   const std::vector<queue_entry>& order();
 
-  /** @return who should be refused now since its turn will not come in time, in order. Valid until
-   * the next call. */
+  /** @return the waiters to refuse now because they are not expected to start before their queue
+   * deadline, in queue order. Valid until the next call. */
   const std::vector<late_waiter>& find_late_waiters(common::Instant now);
 
-  /** @return how long an operation that came now would wait; nothing if that is not known. */
+  /** @return how long an operation that arrives now would wait; nothing if unknown. */
   std::optional<common::Duration> expected_wait(const target& at, common::Instant now) const;
 
  private:
@@ -111,7 +114,7 @@
   tenant_weights weights;
   std::map<std::string, service_queue> queues;
   std::unordered_map<waiter_number, waiter_record> waiters;
-  std::vector<queue_entry> order_buffer;  // kept for its memory
+  std::vector<queue_entry> order_buffer;  // reused to avoid allocation
   std::vector<queue_entry> scan_buffer;
   std::vector<late_waiter> late_waiters;
 };
--- a/src/waiting/tenant_weights.cc
+++ b/src/waiting/tenant_weights.cc
@@ -1,4 +1,4 @@
-// A tenant's weight from its declared rate and its priority.
+// Computes a tenant's weight from its declared rate and its priority.
 
 #include "waiting/tenant_weights.h"
 
@@ -8,7 +8,7 @@
 namespace valvekeel::waiting {
 namespace {
 
-/** @return the mean of the rates that are declared, 1 if there are none. */
+/** @return the mean of the declared rates, 1 without any. */
 double mean_rate(const std::map<std::string, tenants::tenant>& tenants) {
   double sum = 0;
   std::size_t declared = 0;
--- a/src/waiting/trace.cc
+++ b/src/waiting/trace.cc
@@ -1,4 +1,4 @@
-// Reading and writing of load traces.
+// Parses and writes traces of load.
 
 #include "waiting/trace.h"
 
@@ -58,7 +58,7 @@
 
 const char* name_of(need needs) { return needs == need::any ? "any" : "primary"; }
 
-/** @return the times of FROM..TO/STEP, FROM+COUNT or a single time; nothing if it is none. */
+/** @return the times of FROM..TO/STEP, FROM+COUNT or a single time; nothing if invalid. */
 std::optional<std::vector<common::Instant>> parse_times(const std::string& text) {
   const std::size_t plus = text.find('+');
   const std::size_t dots = text.find("..");
@@ -153,7 +153,7 @@
   return true;
 }
 
-/** A kind of line: how many words it has, and who reads it. */
+/** A kind of line: its number of words and its parser. */
 struct line_kind {
   std::size_t word_count = 0;
   bool (*parse)(const words& line, trace& out) = nullptr;
--- a/src/waiting/trace.h
+++ b/src/waiting/trace.h
@@ -1,18 +1,25 @@
 /**
- * @file A recorded or made load: what arrived, and how much could run at once.
+ * @file Defines a trace of load: the operations that arrive and how many can run at once.
  *
- * One event a line, words apart by blanks, times in milliseconds, `-` for no tenant, `#` before a
- * remark. `arrive` and `capacity` may come in any order of time.
+ * A trace has one event per line. Words are separated by blanks, times are in milliseconds, `-`
+ * stands for no tenant and `#` begins a remark. `arrive` and `capacity` lines need not be in the
+ * order of time.
  *
  *     tenant NAME RATE PRIORITY
- *     callers RETRIES DEADLINE          how often and for how long a refused caller comes back
- *     capacity AT SERVICE NEED SLOTS    runs at once from then on; 0: no instance. NEED:
- * any|primary arrive AT SERVICE NEED TENANT PRIORITY TARGET_LATENCY HOLD WORK expect TENANT FIGURE
- * at_least|at_most VALUE    TENANT `*`: all. See replay.h for FIGURE
+ *     callers RETRIES DEADLINE
+ *     capacity AT SERVICE NEED SLOTS
+ *     arrive AT SERVICE NEED TENANT PRIORITY TARGET_LATENCY HOLD WORK
+ *     expect TENANT FIGURE at_least|at_most VALUE
  *
- * AT of `arrive` may be a series FROM..TO/STEP; FROM+COUNT is COUNT arrivals at one moment.
+ * `callers`: number of retries of a refused caller, and the deadline over all its attempts.
+ * `capacity`: number of operations that run at once from AT on; 0 if there is no instance. NEED is
+ * `any` or `primary`.
+ * `arrive`: HOLD is the longest time in the queue, WORK the execution time. AT may be a series
+ * FROM..TO/STEP; FROM+COUNT is COUNT arrivals at the same time.
+ * `expect`: TENANT `*` stands for all tenants. FIGURE is described in replay.h.
  *
- * Owns: the typed trace. Invariant: events are sorted by time. Pure. Thread: any.
+ * Owns: the parsed trace. Invariant: arrivals and capacities are sorted by time. No I/O and no
+ * clock; safe to call from any thread.
  */
 #pragma once
 
@@ -38,10 +45,10 @@
   std::uint32_t priority = 0;
   common::Duration target_latency{0};
   common::Duration max_wait{0};
-  common::Duration work{0};  // how long an instance runs it
+  common::Duration work{0};  // execution time at an instance
 };
 
-/** From a moment on, so many run at once. */
+/** The number of operations that can run at once changes. */
 struct capacity_change {
   common::Instant at{0};
   std::string service;
@@ -49,7 +56,7 @@
   std::size_t slots = 0;
 };
 
-/** What a replay of the trace should show. */
+/** A bound on a figure of the replay. */
 struct expected_outcome {
   std::string tenant;  // "*": all
   std::string figure;
@@ -66,18 +73,19 @@
   std::vector<expected_outcome> expectations;
 };
 
-/** Why a trace could not be read. */
+/** The first invalid line of a trace; lines count from 1. */
 struct trace_error {
   std::size_t line = 0;
   std::string reason;
 };
 
+/** @return the trace, or the first line that is invalid. */
 common::Result<trace, trace_error> parse_trace(const std::string& text);
 
-/** @return the line of a trace for an arrival. */
+/** @return the `arrive` line of an arrival, without a line break. */
 std::string format(const arrival& of);
 
-/** @return the line of a trace for a change of capacity. */
+/** @return the `capacity` line of a change, without a line break. */
 std::string format(const capacity_change& of);
 
 }  // namespace valvekeel::waiting
--- a/src/waiting/wait_forecast.cc
+++ b/src/waiting/wait_forecast.cc
@@ -1,4 +1,4 @@
-// The rate of starts in crowded time, and what it means for a place in the queue.
+// Estimates the rate of starts in saturated time and the wait at a position of the queue.
 
 #include "waiting/wait_forecast.h"
 
@@ -13,7 +13,7 @@
 using tenants::in_seconds;
 using tenants::MICROSECONDS_IN_SECOND;
 
-/** @return what is left of something after a time. */
+/** @return the factor by which an observation decays over a time. */
 double decay_factor(common::Duration elapsed) {
   return std::exp(-in_seconds(elapsed) / in_seconds(DECAY_TIME_CONSTANT));
 }
@@ -48,7 +48,7 @@
   this->saturated = true;
   const bool grown = instances > this->max_instances;
   if (grown && this->max_instances > 0) {
-    this->observed = {};  // an instance has come: what is known is of fewer
+    this->observed = {};  // an instance was added: the rate is of fewer instances
   }
   if (instances >= this->max_instances ||
       now >= this->max_instances_at + INSTANCE_COUNT_RETENTION) {
@@ -79,7 +79,7 @@
     return std::nullopt;
   }
   const auto turns = static_cast<double>(position);
-  // Starts are counted as a Poisson process: its variance is its mean.
+  // The starts are taken for a Poisson process, whose variance equals its mean.
   const double rate = current.starts / current.seconds;
   const double high_rate = (current.starts + std::sqrt(current.starts)) / current.seconds;
   const double few_turns = turns - std::sqrt(turns);
