--- a/src/waiting/recorder.h
+++ b/src/waiting/recorder.h
@@ -53,7 +53,7 @@
     common::Duration time{0};
     std::int64_t count = 0;
   };
-  using service_and_need = std::pair<std::string, need>;  // service and need
+  using service_and_need = std::pair<std::string, need>;
 
   std::vector<arrival> arrivals;
   std::vector<capacity_change> capacities;
--- a/src/waiting/service_queues.cc
+++ b/src/waiting/service_queues.cc
@@ -94,9 +94,9 @@
       continue;
     }
     const std::size_t index = index_of(each.needs);
-    const auto expected = of.forecasts.at(index).estimate_turn(ahead.at(index) + 1, now);
-    if (expected && now + expected->earliest > each.queue_deadline) {
-      this->late_waiters.push_back({each.number, expected->expected});
+    const auto estimate = of.forecasts.at(index).estimate_turn(ahead.at(index) + 1, now);
+    if (estimate && now + estimate->earliest > each.queue_deadline) {
+      this->late_waiters.push_back({each.number, estimate->expected});
     } else {
       ++ahead.at(index);
     }
@@ -111,8 +111,8 @@
   }
   const std::size_t index = index_of(at.needs);
   const std::size_t position = found->second.counts_by_need.at(index) + 1;
-  const auto expected = found->second.forecasts.at(index).estimate_turn(position, now);
-  return expected ? std::optional(expected->expected) : std::nullopt;
+  const auto estimate = found->second.forecasts.at(index).estimate_turn(position, now);
+  return estimate ? std::optional(estimate->expected) : std::nullopt;
 }
 
 }  // namespace valvekeel::waiting
--- a/tests/waiting/fair_queue_test.cc
+++ b/tests/waiting/fair_queue_test.cc
@@ -1,4 +1,4 @@
-// The order of waiting operations: priorities, tenants' shares, time left.
+// Tests the order of waiting operations by priority, tenants' shares and queue deadline.
 
 #include "waiting/fair_queue.h"
 
@@ -11,7 +11,8 @@
 constexpr common::Duration MILLISECOND{1'000};
 constexpr common::Instant START{10'000'000};
 
-/** A queue whose waiters come a millisecond apart, with the same hold time. */
+/** A queue whose waiters arrive a millisecond apart; their time in the queue is at most their
+ * target latency. */
 struct queue_fixture {
   queue_fixture() {
     std::map<std::string, tenants::tenant> tenants;
@@ -35,7 +36,7 @@
     return added;
   }
 
-  /** Starts the first `count` in order. @return how many of them were the tenant's. */
+  /** Starts the first `count` waiters. @return how many of them belong to the tenant */
   std::size_t start(std::size_t count, const std::string& tenant) {
     std::size_t of_tenant = 0;
     for (std::size_t i = 0; i < count; ++i) {
@@ -89,7 +90,7 @@
   CHECK(fixture.start(40, "large") == 30);
 }
 
-TEST_CASE("A small tenant's operation passes a large one's backlog", "[waiting]") {
+TEST_CASE("A small tenant's operation overtakes a large tenant's backlog", "[waiting]") {
   queue_fixture fixture;
   for (int i = 0; i < 50; ++i) {
     fixture.add("large");
@@ -100,7 +101,7 @@
   CHECK(std::find(order.begin(), order.end(), small.number) - order.begin() <= 1);
 }
 
-TEST_CASE("A tenant that comes back after a rest gets no credit for it", "[waiting]") {
+TEST_CASE("A tenant gets no credit for the time in which it was idle", "[waiting]") {
   queue_fixture fixture;
   for (int i = 0; i < 60; ++i) {
     fixture.add("large");
@@ -110,11 +111,11 @@
   for (int i = 0; i < 20; ++i) {
     fixture.add("small");
   }
-  // With credit for its rest the small one would have nine of the next twelve starts.
+  // With credit for its idle time the small tenant would get nine of the next twelve starts.
   CHECK(fixture.start(12, "small") <= 4);
 }
 
-TEST_CASE("What starts past the queue is charged to its tenant", "[waiting]") {
+TEST_CASE("An operation that starts without queueing is charged to its tenant", "[waiting]") {
   queue_fixture fixture;
   const waiter small = fixture.add("small");
   for (int i = 0; i < 4; ++i) {
@@ -124,27 +125,27 @@
   CHECK(fixture.order() == numbers{other.number, small.number});
 }
 
-TEST_CASE("A tenant's priority scales its weight, and a low one is not starved", "[waiting]") {
+TEST_CASE("A tenant's priority scales its weight down to a lower bound", "[waiting]") {
   queue_fixture fixture;
   CHECK(fixture.weights.of("later") == fixture.weights.of("small") * PRIORITY_FACTOR);
   CHECK(fixture.weights.of("last") == fixture.weights.of("small") / 16);
 }
 
-TEST_CASE("Work for no tenant has the weight of a usual tenant", "[waiting]") {
+TEST_CASE("Operations without a tenant have the mean weight", "[waiting]") {
   queue_fixture fixture;
   CHECK(fixture.weights.of("") == 15);
   tenant_weights no_tenants;
   CHECK(no_tenants.of("") == 1);
 }
 
-TEST_CASE("Within a tenant, who has less time left goes first", "[waiting]") {
+TEST_CASE("Within a tenant the earliest queue deadline goes first", "[waiting]") {
   queue_fixture fixture;
   fixture.add("small", 0, 800 * MILLISECOND);
   fixture.add("small", 0, 200 * MILLISECOND);
   CHECK(fixture.order() == numbers{2, 1});
 }
 
-TEST_CASE("A route's priority goes before all shares", "[waiting]") {
+TEST_CASE("A route's priority takes precedence over tenants' shares", "[waiting]") {
   queue_fixture fixture;
   fixture.add("large", 2);
   fixture.add("small", 1);
@@ -152,7 +153,7 @@
   CHECK(fixture.order() == numbers{2, 3, 1});
 }
 
-TEST_CASE("Who leaves the queue without a start is not charged", "[waiting]") {
+TEST_CASE("A waiter that is removed without a start is not charged", "[waiting]") {
   queue_fixture fixture;
   const waiter removed = fixture.add("small");
   fixture.add("large");
@@ -162,7 +163,7 @@
   CHECK(fixture.queue.size() == 2);
 }
 
-TEST_CASE("Shares begin anew when nobody waits", "[waiting]") {
+TEST_CASE("Shares are reset when the queue is empty", "[waiting]") {
   queue_fixture fixture;
   fixture.add("small");
   fixture.queue.on_started(0, "small");
--- a/tests/waiting/recorder_test.cc
+++ b/tests/waiting/recorder_test.cc
@@ -1,4 +1,4 @@
-// A recorded load is a trace that can be replayed.
+// Tests that a recorded load is a trace that can be replayed.
 
 #include "waiting/recorder.h"
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("Operations are recorded in the order in which they came", "[waiting]") {
+TEST_CASE("Operations are recorded in the order of their arrival", "[waiting]") {
   trace_recorder recorder;
   recorder.on_operation_ended(make_arrival(30 * MILLISECOND, 10 * MILLISECOND));
   recorder.on_operation_ended(make_arrival(5 * MILLISECOND, 40 * MILLISECOND));
@@ -41,7 +41,7 @@
   CHECK(read.arrivals.back().at == 25 * MILLISECOND);
 }
 
-TEST_CASE("What never started is given the mean work of those that did", "[waiting]") {
+TEST_CASE("An operation that never started gets the mean work of those that did", "[waiting]") {
   trace_recorder recorder;
   recorder.on_operation_ended(make_arrival(MILLISECOND, 10 * MILLISECOND));
   recorder.on_operation_ended(make_arrival(2 * MILLISECOND, 30 * MILLISECOND));
@@ -57,7 +57,7 @@
   CHECK(recorded(recorder).capacities.size() == 3);
 }
 
-TEST_CASE("A recorded load is replayed as it was", "[waiting]") {
+TEST_CASE("A recorded load replays with the outcome of the original", "[waiting]") {
   trace_recorder recorder;
   recorder.on_capacity({START, "ledger", need::any, 1});
   for (int i = 0; i < 5; ++i) {
--- a/tests/waiting/replay_test.cc
+++ b/tests/waiting/replay_test.cc
@@ -1,4 +1,4 @@
-// Loads at their worst, replayed: what the decisions on waiting gain over the earlier ones.
+// Replays difficult loads and compares the fair policy with the baseline; tests the trace format.
 
 #include "waiting/replay.h"
 
@@ -18,7 +18,8 @@
   return common::ValueOf(parsed);
 }
 
-/** Requires all that the trace expects of the present decisions, and that the earlier ones miss. */
+/** Requires that the fair policy meets all expectations of the trace and the baseline meets none.
+ */
 void check_improvement(const std::string& name) {
   const trace trace_input = load(name);
   REQUIRE_FALSE(trace_input.expectations.empty());
@@ -32,16 +33,17 @@
 
 }  // namespace
 
-TEST_CASE("A tenant at seven times its rate takes nothing from small ones", "[waiting]") {
+TEST_CASE("A tenant at seven times its rate does not slow down small tenants", "[waiting]") {
   check_improvement("large-tenant");
 }
 
-TEST_CASE("Callers of a service that lost an instance are served in time or told at once",
+TEST_CASE("Callers of a service that lost an instance are served in time or refused at once",
           "[waiting]") {
   check_improvement("lost-instance-short-work");
 }
 
-TEST_CASE("A queue behind a lost instance is short enough to be served", "[waiting]") {
+TEST_CASE("After the loss of an instance the queue is short enough to be served in time",
+          "[waiting]") {
   const trace trace_input = load("lost-instance");
   const replay_result fair = replay(trace_input, policy::fair);
   CHECK(unmet_expectations(trace_input, fair).empty());
@@ -50,15 +52,15 @@
   CHECK(total(fair).held_in_vain < total(baseline).held_in_vain / 4);
 }
 
-TEST_CASE("Callers that were refused together are all served in the end", "[waiting]") {
+TEST_CASE("Callers that were refused together are served by their retries", "[waiting]") {
   check_improvement("return-at-once");
 }
 
-TEST_CASE("What waits in a primary's gap is served after it", "[waiting]") {
+TEST_CASE("Operations queued during a primary outage are served after it", "[waiting]") {
   check_improvement("primary-gap");
 }
 
-TEST_CASE("A trace that cannot be read names the line", "[waiting]") {
+TEST_CASE("A trace error gives the line number", "[waiting]") {
   const auto unknown = parse_trace("callers 2 2000\n\ndepart 3\n");
   REQUIRE_FALSE(common::IsOk(unknown));
   CHECK(common::ErrorOf(unknown).line == 3);
@@ -70,7 +72,7 @@
   }
 }
 
-TEST_CASE("What is written of a trace is read again", "[waiting]") {
+TEST_CASE("Formatted trace lines parse to the same events", "[waiting]") {
   const arrival arrived{common::Instant(1'500),
                         "ledger",
                         need::primary,
@@ -89,14 +91,14 @@
   CHECK(format(read.capacities.front()) == format(change));
 }
 
-TEST_CASE("A series of arrivals and a crowd are written in a line", "[waiting]") {
+TEST_CASE("One line can give a series of arrivals or simultaneous arrivals", "[waiting]") {
   const auto parsed =
       parse_trace("arrive 0..100/10 ledger any - 0 200 100 40\narrive 50+7 ledger any - 0 2 1 4\n");
   REQUIRE(common::IsOk(parsed));
   CHECK(common::ValueOf(parsed).arrivals.size() == 17);
 }
 
-TEST_CASE("An expected figure that does not exist is missed", "[waiting]") {
+TEST_CASE("An expectation of an unknown figure or tenant is not met", "[waiting]") {
   const auto parsed = parse_trace("expect * speed at_least 0\nexpect nobody late at_most 3\n");
   REQUIRE(common::IsOk(parsed));
   const trace& trace_input = common::ValueOf(parsed);
--- a/tests/waiting/retry_after_test.cc
+++ b/tests/waiting/retry_after_test.cc
@@ -1,4 +1,4 @@
-// When refused callers come back.
+// Tests the retry-after time of refused callers.
 
 #include "waiting/retry_after.h"
 
@@ -11,7 +11,7 @@
 
 constexpr common::Duration MILLISECOND{1'000};
 
-/** A caller that was refused 10 ms after its first attempt, where 150 ms are to be waited. */
+/** An attempt refused 10 ms after the caller's first one; the expected wait is 150 ms. */
 refused_attempt refused_early() {
   refused_attempt refused;
   refused.session = 1;
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("A caller that can still be served in time comes back when the queue would take it",
+TEST_CASE("A caller that can still be served in time retries when the queue is short enough",
           "[waiting]") {
   refused_attempt refused = refused_early();
   CHECK(retry_after(refused) >= 50 * MILLISECOND);
@@ -34,7 +34,7 @@
   CHECK(retry_after(refused) < 200 * MILLISECOND);
 }
 
-TEST_CASE("A caller that will be late anyway leaves room to others", "[waiting]") {
+TEST_CASE("A caller that will miss its target latency anyway retries late", "[waiting]") {
   refused_attempt tried_before = refused_early();
   tried_before.since_first = 200 * MILLISECOND;
   CHECK(retry_after(tried_before) >= LATE_RETRY_AFTER);
@@ -46,7 +46,7 @@
   CHECK(retry_after(short_target) >= LATE_RETRY_AFTER);
 }
 
-TEST_CASE("The time to come back is bounded both ways", "[waiting]") {
+TEST_CASE("The retry-after time has a lower and an upper bound", "[waiting]") {
   refused_attempt refused = refused_early();
   refused.expected_wait = 10 * MILLISECOND;
   CHECK(retry_after(refused) >= MIN_RETRY_AFTER);
@@ -60,7 +60,7 @@
   CHECK(retry_after(refused) < 2 * DEFAULT_RETRY_AFTER);
 }
 
-TEST_CASE("Callers refused together do not come back together", "[waiting]") {
+TEST_CASE("Callers refused together do not retry together", "[waiting]") {
   constexpr std::size_t CALLERS = 100;
   constexpr std::size_t SLOTS = 10;
   std::vector<std::size_t> by_slot(SLOTS);
--- a/tests/waiting/service_queues_test.cc
+++ b/tests/waiting/service_queues_test.cc
@@ -1,4 +1,4 @@
-// Who waits in vain, by service and by what is waited for.
+// Tests which waiters cannot start in time, by service and by the instances they need.
 
 #include "waiting/service_queues.h"
 
@@ -12,7 +12,7 @@
 constexpr common::Duration MAX_WAIT = 100 * MILLISECOND;
 const std::string SERVICE = "ledger";
 
-/** Queues of a service that has started 50 operations a second for 2 s while others waited. */
+/** Queues of a service that started 50 operations a second for 2 s while others waited. */
 struct queues_fixture {
   explicit queues_fixture(need needs = need::any) : at{SERVICE, needs} {
     add();
@@ -44,20 +44,20 @@
 
 }  // namespace
 
-TEST_CASE("Who stands too far back is refused, and only who does", "[waiting]") {
+TEST_CASE("Only waiters too far back in the queue are refused", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
   const auto& found = fixture.queues.find_late_waiters(fixture.now);
-  // 50 a second for 0.1 s: 5 start on the mean, 10 with luck.
+  // At 50 a second, 5 start in 0.1 s on average and up to 10 within one standard deviation.
   REQUIRE(found.size() > 28);
   REQUIRE(found.size() < 34);
   CHECK(found.front().number == 42 - found.size());
   CHECK(found.front().expected_wait > MAX_WAIT);
 }
 
-TEST_CASE("Those refused make no one wait", "[waiting]") {
+TEST_CASE("Refused waiters do not add to the wait of others", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
@@ -66,7 +66,7 @@
   CHECK(found.front().expected_wait == found.back().expected_wait);
 }
 
-TEST_CASE("What waits for other things than room is neither refused nor counted", "[waiting]") {
+TEST_CASE("A waiter that lacks more than a free slot is neither refused nor counted", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add(false);
@@ -76,7 +76,7 @@
   CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("A waiter that is tried again counts as what it waits for now", "[waiting]") {
+TEST_CASE("A waiter counts by what it lacked at the latest attempt", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.queues.set_waits_only_for_slot(fixture.add(false), true);
@@ -84,7 +84,7 @@
   CHECK_FALSE(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("What reads show is not held against the primary's waiters", "[waiting]") {
+TEST_CASE("The rate of reads does not apply to waiters for the primary", "[waiting]") {
   queues_fixture fixture;
   fixture.at.needs = need::primary;
   for (int i = 0; i < 40; ++i) {
@@ -93,7 +93,7 @@
   CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("The queue that formed in a primary's gap is not refused after it", "[waiting]") {
+TEST_CASE("The queue that formed during a primary outage is not refused after it", "[waiting]") {
   queues_fixture fixture(need::primary);
   fixture.queues.on_no_instance(fixture.at, fixture.now);
   fixture.now += 700 * MILLISECOND;
@@ -104,13 +104,13 @@
   CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("A read that finds no fresh replica is no gap for others", "[waiting]") {
+TEST_CASE("A read without a fresh replica is no outage for other reads", "[waiting]") {
   queues_fixture fixture;
   fixture.queues.on_no_instance(fixture.at, fixture.now);
   CHECK(fixture.queues.expected_wait(fixture.at, fixture.now));
 }
 
-TEST_CASE("Services do not wait for each other", "[waiting]") {
+TEST_CASE("Services have separate queues", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
@@ -119,7 +119,7 @@
   CHECK_FALSE(fixture.queues.expected_wait({other, need::any}, fixture.now));
 }
 
-TEST_CASE("A waiter that is added again keeps its place", "[waiting]") {
+TEST_CASE("A waiter that is added again keeps its position", "[waiting]") {
   queues_fixture fixture;
   const waiter_number first = fixture.add();
   fixture.add();
--- a/tests/waiting/wait_forecast_test.cc
+++ b/tests/waiting/wait_forecast_test.cc
@@ -1,4 +1,4 @@
-// When the time to an operation's turn is known, and that doubt favours waiting.
+// Tests when there is a forecast of the wait, and that it errs towards waiting.
 
 #include "waiting/wait_forecast.h"
 
@@ -12,9 +12,9 @@
 constexpr std::size_t INSTANCES = 3;
 constexpr std::size_t DISTANT_POSITION = 50;
 
-/** A crowded service that is looked at each tick. */
+/** A saturated service whose queue is checked each tick. */
 struct saturated_service {
-  /** Lets time pass; `lump` operations start after each `interval`. */
+  /** Advances the time; `burst` operations start after each `interval`. */
   void run(common::Duration time, common::Duration interval, int burst = 1,
            std::size_t instances = INSTANCES) {
     const common::Instant end = now + time;
@@ -30,10 +30,10 @@
     }
   }
 
-  /** @return the time of the likely turn, negative if it is not known. */
+  /** @return the expected wait at the position, negative without a forecast. */
   common::Duration expected_wait(std::size_t position) const {
-    const auto expected = forecast.estimate_turn(position, now);
-    return expected ? expected->expected : common::Duration(-1);
+    const auto estimate = forecast.estimate_turn(position, now);
+    return estimate ? estimate->expected : common::Duration(-1);
   }
 
   wait_forecast forecast;
@@ -43,22 +43,22 @@
 
 }  // namespace
 
-TEST_CASE("A place in the queue has the time of the starts before it", "[waiting]") {
+TEST_CASE("The wait at a position is the time that the starts before it take", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   CHECK(service.expected_wait(10) > 180 * MILLISECOND);
   CHECK(service.expected_wait(10) < 220 * MILLISECOND);
-  const auto expected = service.forecast.estimate_turn(10, service.now);
-  CHECK(expected->earliest < 140 * MILLISECOND);
+  const auto estimate = service.forecast.estimate_turn(10, service.now);
+  CHECK(estimate->earliest < 140 * MILLISECOND);
 }
 
-TEST_CASE("The next in the queue is never forecast to come too late", "[waiting]") {
+TEST_CASE("The next in the queue is never forecast to start too late", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(2), 100 * MILLISECOND);
   CHECK(service.forecast.estimate_turn(1, service.now)->earliest == common::Duration(0));
 }
 
-TEST_CASE("Nothing is forecast while too little is known", "[waiting]") {
+TEST_CASE("There is no forecast from too few observations", "[waiting]") {
   saturated_service service;
   CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
   service.run(90 * MILLISECOND, 20 * MILLISECOND);
@@ -67,13 +67,13 @@
   CHECK(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
-TEST_CASE("Two starts tell no rate", "[waiting]") {
+TEST_CASE("Two starts are too few for a rate", "[waiting]") {
   saturated_service service;
   service.run(300 * MILLISECOND, 150 * MILLISECOND);
   CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
-TEST_CASE("Starts without a crowd tell nothing of what the instances can do", "[waiting]") {
+TEST_CASE("Starts outside saturated time do not count", "[waiting]") {
   saturated_service service;
   for (int i = 0; i < 100; ++i) {
     service.now += TICK;
@@ -83,7 +83,7 @@
   CHECK(service.expected_wait(10) > 350 * MILLISECOND);
 }
 
-TEST_CASE("A quiet time is not taken for a slow service", "[waiting]") {
+TEST_CASE("Idle time does not count as a slow service", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   const common::Duration before = service.expected_wait(10);
@@ -101,7 +101,7 @@
   CHECK(service.expected_wait(10) > before * 5 / 4);
 }
 
-TEST_CASE("A gap without a primary forgets the rate", "[waiting]") {
+TEST_CASE("A primary outage discards the rate", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND, 1, 1);
   service.forecast.on_outage(service.now);
@@ -110,14 +110,14 @@
   CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
-TEST_CASE("An instance that comes back forgets the rate without it", "[waiting]") {
+TEST_CASE("An additional instance discards the rate of fewer instances", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND, 1, INSTANCES - 1);
   service.forecast.on_no_free_slot(INSTANCES, service.now);
   CHECK_FALSE(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
-TEST_CASE("An instance that was away and comes back is noticed", "[waiting]") {
+TEST_CASE("An instance that was lost and returns discards the rate without it", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   service.run(INSTANCE_COUNT_RETENTION + 2 * TICK, 30 * MILLISECOND, 1, INSTANCES - 1);
@@ -134,17 +134,17 @@
   CHECK(service.forecast.estimate_turn(DISTANT_POSITION, service.now));
 }
 
-TEST_CASE("A queue that moves in lumps has its mean rate", "[waiting]") {
+TEST_CASE("Starts in bursts are forecast at their mean rate", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(3), 200 * MILLISECOND, 10);
   for (int tick = 0; tick < 20; ++tick) {
     service.run(TICK, 200 * MILLISECOND, 10);
-    // A lump of ten comes every 200 ms, so the tenth never waits longer.
+    // A burst of ten starts every 200 ms, so the tenth never waits longer.
     CHECK(service.forecast.estimate_turn(10, service.now)->earliest < 200 * MILLISECOND);
   }
 }
 
-TEST_CASE("A process that stood still does not take its own pause for the service's", "[waiting]") {
+TEST_CASE("A pause of the process itself does not count as a slow service", "[waiting]") {
   saturated_service service;
   service.run(std::chrono::seconds(2), 20 * MILLISECOND);
   const common::Duration before = service.expected_wait(10);
