--- a/src/waiting/wait_forecast.cc
+++ b/src/waiting/wait_forecast.cc
@@ -1,4 +1,4 @@
-// The rate of starts in crowded time, and what it means for a place in the queue.
+// Estimates the rate of starts in saturated time and the wait at a position of the queue.
 
 #include "waiting/wait_forecast.h"
 
@@ -13,9 +13,9 @@
 using tenants::in_seconds;
 using tenants::MICROSECONDS_IN_SECOND;
 
-/** @return what is left of something after a time. */
-double left_after(common::Duration elapsed) {
-  return std::exp(-in_seconds(elapsed) / in_seconds(FADING_TIME));
+/** @return the factor by which an observation decays over a time. */
+double decay_factor(common::Duration elapsed) {
+  return std::exp(-in_seconds(elapsed) / in_seconds(DECAY_TIME_CONSTANT));
 }
 
 common::Duration from_seconds(double seconds) {
@@ -24,64 +24,66 @@
 
 }  // namespace
 
-wait_forecast::tally wait_forecast::faded(common::Instant now) const {
-  const common::Duration elapsed = now - this->seen_at;
+wait_forecast::tally wait_forecast::decayed(common::Instant now) const {
+  const common::Duration elapsed = now - this->observed_at;
   if (elapsed <= common::Duration(0)) {
-    return this->seen;
+    return this->observed;
   }
-  const double left = left_after(elapsed);
-  tally result{this->seen.starts * left, this->seen.seconds * left};
-  if (this->crowded) {
+  const double factor = decay_factor(elapsed);
+  tally result{this->observed.starts * factor, this->observed.seconds * factor};
+  if (this->saturated) {
     result.seconds +=
-        in_seconds(FADING_TIME) * (1 - left_after(std::min(elapsed, LONGEST_SILENCE)));
+        in_seconds(DECAY_TIME_CONSTANT) * (1 - decay_factor(std::min(elapsed, MAX_EVENT_INTERVAL)));
   }
   return result;
 }
 
 void wait_forecast::advance(common::Instant now) {
-  this->seen = this->faded(now);
-  this->seen_at = now;
+  this->observed = this->decayed(now);
+  this->observed_at = now;
 }
 
-void wait_forecast::note_blocked(std::size_t places, common::Instant now) {
+void wait_forecast::on_no_free_slot(std::size_t instances, common::Instant now) {
   this->advance(now);
-  this->crowded = true;
-  const bool more = places > this->most_places;
-  if (more && this->most_places > 0) {
-    this->seen = {};  // an instance has come: what is known is of fewer
+  this->saturated = true;
+  const bool grown = instances > this->max_instances;
+  if (grown && this->max_instances > 0) {
+    this->observed = {};  // an instance was added: the rate is of fewer instances
   }
-  if (places >= this->most_places || now >= this->most_places_at + PLACES_MEMORY) {
-    this->most_places = places;
-    this->most_places_at = now;
+  if (instances >= this->max_instances ||
+      now >= this->max_instances_at + INSTANCE_COUNT_RETENTION) {
+    this->max_instances = instances;
+    this->max_instances_at = now;
   }
 }
 
-void wait_forecast::note_gap(common::Instant now) {
-  this->seen = {};
-  this->seen_at = now;
-  this->crowded = false;
-  this->most_places = 0;
+void wait_forecast::on_outage(common::Instant now) {
+  this->observed = {};
+  this->observed_at = now;
+  this->saturated = false;
+  this->max_instances = 0;
 }
 
-void wait_forecast::note_started(bool others_wait, common::Instant now) {
+void wait_forecast::on_started(bool others_wait, common::Instant now) {
   this->advance(now);
-  if (this->crowded) {
-    this->seen.starts += 1;
+  if (this->saturated) {
+    this->observed.starts += 1;
   }
-  this->crowded = this->crowded && others_wait;
+  this->saturated = this->saturated && others_wait;
 }
 
-std::optional<expectation> wait_forecast::expect(std::size_t position, common::Instant now) const {
-  const tally known = this->faded(now);
-  if (known.starts < LEAST_STARTS || known.seconds < in_seconds(LEAST_CROWDED)) {
+std::optional<turn_estimate> wait_forecast::estimate_turn(std::size_t position,
+                                                          common::Instant now) const {
+  const tally current = this->decayed(now);
+  if (current.starts < MIN_STARTS || current.seconds < in_seconds(MIN_SATURATED_TIME)) {
     return std::nullopt;
   }
   const auto turns = static_cast<double>(position);
-  // Starts are counted as a Poisson process: its variance is its mean.
-  const double rate = known.starts / known.seconds;
-  const double lucky_rate = (known.starts + std::sqrt(known.starts)) / known.seconds;
-  const double lucky_turns = turns - std::sqrt(turns);
-  return expectation{from_seconds(turns / rate), from_seconds(lucky_turns / lucky_rate)};
+  // The starts are taken for a Poisson process, whose variance equals its mean.
+  const double rate = current.starts / current.seconds;
+  const double high_rate = (current.starts + std::sqrt(current.starts)) / current.seconds;
+  const double few_turns = turns - std::sqrt(turns);
+  return turn_estimate{from_seconds(turns / rate), from_seconds(few_turns / high_rate)};
 }
 
 }  // namespace valvekeel::waiting
