--- a/src/access/rule.h
+++ b/src/access/rule.h
@@ -21,19 +21,19 @@
 namespace valvekeel::access {
 
 /** Whether an instance may get work. Ordered: the stricter is greater. */
-enum class verdict : std::uint8_t {
+enum class access_level : std::uint8_t {
   open,
   overflow,     // what the open instances have no room for
   last_resort,  // only if no other instance of the service may be used
-  later,        // nothing at this moment; the rule will let some through again soon
+  deferred,     // nothing at this moment; the rule will let some through again soon
   closed,       // nothing while the rule's reason lasts
 };
 
 /** A rule's word on one instance. */
-struct answer {
-  verdict outcome = verdict::open;
-  const char* reason = "";        // of any outcome but open, for logs and refusals
-  common::Duration come_back{0};  // after which another try is worth it; of later and closed
+struct decision {
+  access_level level = access_level::open;
+  const char* reason = "";          // of any outcome but open, for logs and refusals
+  common::Duration retry_after{0};  // after which another try is worth it; of later and closed
 };
 
 /** The work that asks for an instance. */
@@ -44,7 +44,7 @@
 };
 
 /** A rule's word on an instance as the leader of its group. */
-struct leader_answer {
+struct leader_evaluation {
   model::LeaderFitness fitness = model::LeaderFitness::kFit;
   const char* reason = "";  // of any fitness but the best, for logs
 };
@@ -57,20 +57,20 @@
   virtual ~rule() = default;
 
   /** @return whether the instance may get this work now. */
-  virtual answer judge(const model::InstanceEntry& instance, const work& asked,
-                       common::Instant now) const = 0;
+  virtual decision evaluate(const model::InstanceEntry& instance, const work& requested,
+                            common::Instant now) const = 0;
 
   /** @return whether the instance should lead its group. */
-  virtual leader_answer judge_leader(const model::InstanceEntry& instance,
-                                     common::Instant now) const = 0;
+  virtual leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
+                                            common::Instant now) const = 0;
 
   /**
    * Callers' work goes to the instance.
    *
    * @param requests  number of messages, each of which the instance answers
    */
-  virtual void note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                         common::Instant now) = 0;
+  virtual void on_sent(const model::InstanceEntry& instance, std::size_t requests,
+                       common::Instant now) = 0;
 };
 
 }  // namespace valvekeel::access
--- a/src/access/rule_set.cc
+++ b/src/access/rule_set.cc
@@ -4,25 +4,25 @@
 
 namespace valvekeel::access {
 
-answer rule_set::judge(const model::InstanceEntry& instance, const work& asked,
-                       common::Instant now) const {
-  answer strictest;
+decision rule_set::evaluate(const model::InstanceEntry& instance, const work& requested,
+                            common::Instant now) const {
+  decision strictest;
   for (const rule* each : this->rules) {
-    const answer found = each->judge(instance, asked, now);
-    if (found.outcome > strictest.outcome) {
+    const decision found = each->evaluate(instance, requested, now);
+    if (found.level > strictest.level) {
       strictest = found;
-    } else if (found.outcome == strictest.outcome) {
-      strictest.come_back = std::max(strictest.come_back, found.come_back);
+    } else if (found.level == strictest.level) {
+      strictest.retry_after = std::max(strictest.retry_after, found.retry_after);
     }
   }
   return strictest;
 }
 
-leader_answer rule_set::judge_leader(const model::InstanceEntry& instance,
-                                     common::Instant now) const {
-  leader_answer worst;
+leader_evaluation rule_set::evaluate_leader(const model::InstanceEntry& instance,
+                                            common::Instant now) const {
+  leader_evaluation worst;
   for (const rule* each : this->rules) {
-    const leader_answer found = each->judge_leader(instance, now);
+    const leader_evaluation found = each->evaluate_leader(instance, now);
     if (found.fitness < worst.fitness) {
       worst = found;
     }
@@ -30,10 +30,10 @@
   return worst;
 }
 
-void rule_set::note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                         common::Instant now) {
+void rule_set::on_sent(const model::InstanceEntry& instance, std::size_t requests,
+                       common::Instant now) {
   for (rule* each : this->rules) {
-    each->note_sent(instance, requests, now);
+    each->on_sent(instance, requests, now);
   }
 }
 
--- a/src/access/rule_set.h
+++ b/src/access/rule_set.h
@@ -18,13 +18,15 @@
   void add(rule& added) { this->rules.push_back(&added); }
 
   /** @return the strictest answer; of equal ones the first rule's, with the longest time. */
-  answer judge(const model::InstanceEntry& instance, const work& asked, common::Instant now) const;
+  decision evaluate(const model::InstanceEntry& instance, const work& requested,
+                    common::Instant now) const;
 
   /** @return the worst fitness that a rule sees. */
-  leader_answer judge_leader(const model::InstanceEntry& instance, common::Instant now) const;
+  leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
+                                    common::Instant now) const;
 
   /** Tells every rule what was sent. */
-  void note_sent(const model::InstanceEntry& instance, std::size_t requests, common::Instant now);
+  void on_sent(const model::InstanceEntry& instance, std::size_t requests, common::Instant now);
 
  private:
   std::vector<rule*> rules;
--- a/src/evacuation/evacuation_rule.cc
+++ b/src/evacuation/evacuation_rule.cc
@@ -20,32 +20,32 @@
   return !in_use_at || now >= *in_use_at + this->policy.limit - margin;
 }
 
-access::answer evacuation_rule::judge(const model::InstanceEntry& instance,
-                                      const access::work& asked, common::Instant now) const {
+access::decision evacuation_rule::evaluate(const model::InstanceEntry& instance,
+                                           const access::work& asked, common::Instant now) const {
   if (this->tracker.awaits_first(now)) {
-    return {access::verdict::later, VIEW_UNKNOWN, UNKNOWN_COME_BACK};
+    return {access::access_level::deferred, VIEW_UNKNOWN, UNKNOWN_COME_BACK};
   }
   if (!this->tracker.evacuated(instance.zone)) {
     return {};
   }
   if (this->closed(instance.zone, now)) {
-    return {access::verdict::closed, EVACUATED, CLOSED_COME_BACK};
+    return {access::access_level::closed, EVACUATED, CLOSED_COME_BACK};
   }
   if (asked.continues_transaction) {
     return {};
   }
-  return {access::verdict::last_resort, EVACUATED, common::Duration(0)};
+  return {access::access_level::last_resort, EVACUATED, common::Duration(0)};
 }
 
-access::leader_answer evacuation_rule::judge_leader(const model::InstanceEntry& instance,
-                                                    common::Instant /*now*/) const {
+access::leader_evaluation evacuation_rule::evaluate_leader(const model::InstanceEntry& instance,
+                                                           common::Instant /*now*/) const {
   if (this->tracker.evacuated(instance.zone)) {
     return {model::LeaderFitness::kUnfit, EVACUATED};
   }
   return {};
 }
 
-void evacuation_rule::note_sent(const model::InstanceEntry& /*instance*/, std::size_t /*requests*/,
-                                common::Instant /*now*/) {}
+void evacuation_rule::on_sent(const model::InstanceEntry& /*instance*/, std::size_t /*requests*/,
+                              common::Instant /*now*/) {}
 
 }  // namespace valvekeel::evacuation
--- a/src/evacuation/evacuation_rule.h
+++ b/src/evacuation/evacuation_rule.h
@@ -36,14 +36,14 @@
   evacuation_rule(const view_tracker& tracker, const evacuation_policy& policy)
       : tracker(tracker), policy(policy) {}
 
-  access::answer judge(const model::InstanceEntry& instance, const access::work& asked,
-                       common::Instant now) const override;
+  access::decision evaluate(const model::InstanceEntry& instance, const access::work& asked,
+                            common::Instant now) const override;
 
-  access::leader_answer judge_leader(const model::InstanceEntry& instance,
-                                     common::Instant now) const override;
+  access::leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
+                                            common::Instant now) const override;
 
-  void note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                 common::Instant now) override;
+  void on_sent(const model::InstanceEntry& instance, std::size_t requests,
+               common::Instant now) override;
 
  private:
   bool closed(const std::string& zone, common::Instant now) const;
--- a/src/proxy/configuration_prover.cc
+++ b/src/proxy/configuration_prover.cc
@@ -69,7 +69,7 @@
   } else if (catalog.IsComplete(*asked_at_)) {
     // After a restore of the store, a version that revoked a key may not have been written again
     // yet.
-    admission_.proof().note({*version, catalog.CompleteAsOf(*asked_at_)});
+    admission_.proof().record_proof({*version, catalog.CompleteAsOf(*asked_at_)});
   }
   return true;
 }
--- a/src/proxy/dispatcher.h
+++ b/src/proxy/dispatcher.h
@@ -146,10 +146,10 @@
   static access::work WorkOf(const Session& session);
   /// @return the access rules' answer that blocks an operation outside an instance's transaction;
   /// nothing if an instance may run it or is expected to.
-  std::optional<access::answer> BlockingAnswer(const Session& session, common::Instant now);
+  std::optional<access::decision> BlockingAnswer(const Session& session, common::Instant now);
   /// The same for a statement whose transaction is open at an instance.
-  std::optional<access::answer> BlockingAnswerInTransaction(const Session& session,
-                                                            common::Instant now);
+  std::optional<access::decision> BlockingAnswerInTransaction(const Session& session,
+                                                              common::Instant now);
   /// Refuses a queued operation that the access rules block, unless they allow it again before its
   /// deadline. @return true if it was refused.
   bool RefuseBlocked(Session& session, common::Instant now);
--- a/src/proxy/dispatcher_access.cc
+++ b/src/proxy/dispatcher_access.cc
@@ -13,20 +13,20 @@
   return {operation.route, operation.tenant, continues};
 }
 
-std::optional<access::answer> Dispatcher::BlockingAnswerInTransaction(const Session& session,
-                                                                      common::Instant now) {
+std::optional<access::decision> Dispatcher::BlockingAnswerInTransaction(const Session& session,
+                                                                        common::Instant now) {
   const Transaction& transaction = session.transaction;
   const Backend* backend = backends_.Find(transaction.instance);
   if (backend == nullptr) {
     return std::nullopt;
   }
-  const access::answer answer =
-      access_.judge(backend->Entry(), {transaction.route, transaction.tenant, true}, now);
-  return answer.outcome >= access::verdict::later ? std::optional(answer) : std::nullopt;
+  const access::decision answer =
+      access_.evaluate(backend->Entry(), {transaction.route, transaction.tenant, true}, now);
+  return answer.level >= access::access_level::deferred ? std::optional(answer) : std::nullopt;
 }
 
-std::optional<access::answer> Dispatcher::BlockingAnswer(const Session& session,
-                                                         common::Instant now) {
+std::optional<access::decision> Dispatcher::BlockingAnswer(const Session& session,
+                                                           common::Instant now) {
   const access::work work = WorkOf(session);
   const std::string& service = session.operation->route.service;
   if (NeedsPrimary(session)) {
@@ -34,26 +34,26 @@
     // closed and unfit to lead, as another instance replaces it. A closed primary that is fit to
     // lead stays the primary, so no instance will run the operation.
     const Backend* primary = backends_.Find(groups_.UsablePrimary(service, now));
-    const access::answer answer =
-        primary == nullptr ? access::answer() : access_.judge(primary->Entry(), work, now);
+    const access::decision answer =
+        primary == nullptr ? access::decision() : access_.evaluate(primary->Entry(), work, now);
     const bool primary_stays =
-        answer.outcome == access::verdict::closed &&
-        access_.judge_leader(primary->Entry(), now).fitness == model::LeaderFitness::kFit;
-    if (answer.outcome == access::verdict::later || primary_stays) {
+        answer.level == access::access_level::closed &&
+        access_.evaluate_leader(primary->Entry(), now).fitness == model::LeaderFitness::kFit;
+    if (answer.level == access::access_level::deferred || primary_stays) {
       return answer;
     }
   }
-  std::optional<access::answer> soonest;
+  std::optional<access::decision> soonest;
   for (const std::string& id : groups_.Members(service)) {
     const Backend& backend = *backends_.Find(id);
     if (backend.unlisted_since) {
       continue;
     }
-    const access::answer answer = access_.judge(backend.Entry(), work, now);
-    if (answer.outcome < access::verdict::later) {
+    const access::decision answer = access_.evaluate(backend.Entry(), work, now);
+    if (answer.level < access::access_level::deferred) {
       return std::nullopt;
     }
-    if (!soonest || answer.come_back < soonest->come_back) {
+    if (!soonest || answer.retry_after < soonest->retry_after) {
       soonest = answer;
     }
   }
@@ -69,8 +69,8 @@
   }
   const Operation& operation = *session.operation;
   const bool retry_in_time =
-      blocked->outcome == access::verdict::later &&
-      now + blocked->come_back < std::min(operation.queue_deadline, operation.deadline);
+      blocked->level == access::access_level::deferred &&
+      now + blocked->retry_after < std::min(operation.queue_deadline, operation.deadline);
   if (retry_in_time) {
     return false;
   }
@@ -79,7 +79,7 @@
     FailTransaction(session, now);
   }
   FinishWithError(session, pinned ? model::ErrorCode::kAborted : model::ErrorCode::kBusy,
-                  "retry_after_ms=" + Milliseconds(blocked->come_back) + " " + blocked->reason,
+                  "retry_after_ms=" + Milliseconds(blocked->retry_after) + " " + blocked->reason,
                   now);
   return true;
 }
@@ -91,7 +91,7 @@
     return;
   }
   const auto blocked = BlockingAnswerInTransaction(session, now);
-  if (!blocked || blocked->outcome != access::verdict::closed) {
+  if (!blocked || blocked->level != access::access_level::closed) {
     return;
   }
   ++counters_.blocked[blocked->reason];
@@ -107,8 +107,8 @@
                                   const std::string& tenant, common::Instant now) {
   const Backend* backend = backends_.Find(instance);
   return backend != nullptr &&
-         access_.judge(backend->Entry(), {route, tenant, true}, now).outcome ==
-             access::verdict::closed;
+         access_.evaluate(backend->Entry(), {route, tenant, true}, now).level ==
+             access::access_level::closed;
 }
 
 void Dispatcher::RecordInstanceClosed(Session& session, common::Instant now) {
@@ -136,7 +136,7 @@
   // A statement is counted with its preparation: after that, only a closed instance keeps it from
   // being sent.
   const std::size_t following = purpose == RequestPurpose::kPreparation ? 1 : 0;
-  access_.note_sent(backend.Entry(), requests.size() + following, now);
+  access_.on_sent(backend.Entry(), requests.size() + following, now);
   backends_.Send(backend, connection, std::move(requests), purpose, now);
 }
 
--- a/src/proxy/dispatcher_execution.cc
+++ b/src/proxy/dispatcher_execution.cc
@@ -65,8 +65,8 @@
   const Backend* primary_backend = backends_.Find(primary);
   if (NeedsPrimary(session)) {
     if (primary_backend == nullptr || !placement_.TakesWork(*primary_backend, now) ||
-        access_.judge(primary_backend->Entry(), WorkOf(session), now).outcome >=
-            access::verdict::later) {
+        access_.evaluate(primary_backend->Entry(), WorkOf(session), now).level >=
+            access::access_level::deferred) {
       return {};
     }
     Placement at_primary;
--- a/src/proxy/dispatcher_tenants.cc
+++ b/src/proxy/dispatcher_tenants.cc
@@ -20,29 +20,29 @@
 
 Refusal RefusalOf(const tenants::admission_result& result) {
   switch (result.outcome) {
-    case tenants::verdict::unknown_key:
+    case tenants::admission_outcome::unknown_key:
       return {model::ErrorCode::kDenied, "unknown key"};
-    case tenants::verdict::unproven:
+    case tenants::admission_outcome::unproven:
       return {model::ErrorCode::kBusy,
-              RetryAfterText(result.come_back) + " keys cannot be checked now"};
-    case tenants::verdict::over_limit:
+              RetryAfterText(result.retry_after) + " keys cannot be checked now"};
+    case tenants::admission_outcome::over_limit:
       return {model::ErrorCode::kBusy,
-              RetryAfterText(result.come_back) + " the tenant's rate is used up"};
-    case tenants::verdict::admitted:
+              RetryAfterText(result.retry_after) + " the tenant's rate is used up"};
+    case tenants::admission_outcome::admitted:
       break;
   }
   return {};
 }
 
-const char* OutcomeName(tenants::verdict outcome) {
+const char* OutcomeName(tenants::admission_outcome outcome) {
   switch (outcome) {
-    case tenants::verdict::unknown_key:
+    case tenants::admission_outcome::unknown_key:
       return "unknown key";
-    case tenants::verdict::unproven:
+    case tenants::admission_outcome::unproven:
       return "keys unproven";
-    case tenants::verdict::over_limit:
+    case tenants::admission_outcome::over_limit:
       return "over the limit";
-    case tenants::verdict::admitted:
+    case tenants::admission_outcome::admitted:
       return "admitted";
   }
   return "unknown";
@@ -58,7 +58,7 @@
 
 void Dispatcher::LogRejection(const std::string& request, const model::Route& route,
                               const tenants::admission_result& result) {
-  admission_.note_refused(result.outcome);
+  admission_.record_refusal(result.outcome);
   outbox_.Log("request_turned_away",
               {{"request", request},
                {"reason", OutcomeName(result.outcome)},
@@ -66,14 +66,14 @@
                {"service", route.service},
                {"version", std::to_string(admission_.configuration_version())},
                {"proof_age_ms", Milliseconds(result.proof_age)},
-               {"retry_after_ms", Milliseconds(result.come_back)}},
+               {"retry_after_ms", Milliseconds(result.retry_after)}},
               LogLevel::kWarning);
 }
 
 bool Dispatcher::AcceptsCaller(const Session& session, const model::Route& route,
                                common::Instant now) {
   const tenants::admission_result result = IdentifyTenant(session, route, now);
-  if (result.outcome == tenants::verdict::admitted) {
+  if (result.outcome == tenants::admission_outcome::admitted) {
     return true;
   }
   LogRejection("", route, result);
@@ -87,7 +87,7 @@
                                                       const model::Route& route,
                                                       common::Instant now) {
   tenants::admission_result result = admission_.admit(route.is_public, session.key, now);
-  if (result.outcome == tenants::verdict::admitted) {
+  if (result.outcome == tenants::admission_outcome::admitted) {
     return std::move(result.tenant);
   }
   LogRejection(command.request_id, route, result);
@@ -100,7 +100,7 @@
                                         common::Instant now) {
   const Transaction& transaction = session.transaction;
   const tenants::admission_result result = IdentifyTenant(session, transaction.route, now);
-  const bool admitted = result.outcome == tenants::verdict::admitted;
+  const bool admitted = result.outcome == tenants::admission_outcome::admitted;
   if (admitted && result.tenant == transaction.tenant) {
     return true;
   }
@@ -111,7 +111,7 @@
   if (commits) {
     EndTransaction(session, now);
   }
-  if (result.outcome == tenants::verdict::unknown_key) {
+  if (result.outcome == tenants::admission_outcome::unknown_key) {
     AnswerError(session, model::ErrorCode::kDenied, "the key was taken away");
   } else {
     AnswerError(session, model::ErrorCode::kAborted,
@@ -122,7 +122,7 @@
 
 bool Dispatcher::StillAdmitted(const Session& session, const tenants::admission_result& current) {
   const bool same = !session.transaction.open || current.tenant == session.transaction.tenant;
-  return current.outcome == tenants::verdict::admitted && same;
+  return current.outcome == tenants::admission_outcome::admitted && same;
 }
 
 void Dispatcher::FailTransaction(Session& session, common::Instant now) {
--- a/src/proxy/dispatcher_time.cc
+++ b/src/proxy/dispatcher_time.cc
@@ -59,7 +59,7 @@
     const tenants::admission_result current = IdentifyTenant(session, operation.route, now);
     if (!StillAdmitted(session, current)) {
       LogRejection(operation.caller_command.request_id, operation.route, current);
-      const bool unknown = current.outcome == tenants::verdict::unknown_key;
+      const bool unknown = current.outcome == tenants::admission_outcome::unknown_key;
       FinishWithError(session, unknown ? model::ErrorCode::kDenied : model::ErrorCode::kAborted,
                       "the key is no longer in force", now);
       return;
@@ -78,7 +78,7 @@
   if (resend && now < operation.deadline) {
     ++counters_.resent_reads;
     ++operation.resends;
-    admission_.limiter().note_resent(operation.tenant, now);
+    admission_.limiter().record_resent(operation.tenant, now);
     outbox_.Log("request_resent", {{"request", operation.caller_command.request_id},
                                    {"instance", operation.instance},
                                    {"waited_ms", Milliseconds(now - operation.sent)},
--- a/src/proxy/failover_driver.cc
+++ b/src/proxy/failover_driver.cc
@@ -140,7 +140,7 @@
 FailoverDriver::ReplacementCause FailoverDriver::FitnessCause(const GroupState& group,
                                                               const Backend& primary,
                                                               common::Instant now) const {
-  const access::leader_answer current = access_.judge_leader(primary.Entry(), now);
+  const access::leader_evaluation current = access_.evaluate_leader(primary.Entry(), now);
   if (current.fitness == model::LeaderFitness::kFit) {
     return {};
   }
@@ -148,7 +148,7 @@
     const Backend& other = backends_.All().at(id);
     const bool usable = !other.Unreachable() && !other.IsUnresponsive(now) &&
                         !other.unlisted_since && !other.draining_since && id != primary.Entry().id;
-    if (usable && access_.judge_leader(other.Entry(), now).fitness > current.fitness) {
+    if (usable && access_.evaluate_leader(other.Entry(), now).fitness > current.fitness) {
       return {current.reason, current.fitness};
     }
   }
@@ -210,7 +210,7 @@
     view.members.push_back({id, backend.draining_since.has_value(),
                             !backend.Unreachable() && !backend.IsUnresponsive(now), !counted,
                             backend.unlisted_since.has_value(),
-                            access_.judge_leader(backend.Entry(), now).fitness});
+                            access_.evaluate_leader(backend.Entry(), now).fitness});
   }
   view.one_fence_is_enough = !settings_.mechanisms.enough_fences;
   view.minimum_position = group.minimum_position;
--- a/src/proxy/peer_message.cc
+++ b/src/proxy/peer_message.cc
@@ -152,16 +152,18 @@
   }
   json grants = json::array();
   for (const tenants::rate_grant& each : rates.grants) {
-    grants.push_back(json::array({each.tenant, ThousandthsOf(each.rate),
-                                  ThousandthsOf(each.sustained), ThousandthsOf(each.first)}));
+    grants.push_back(
+        json::array({each.tenant, ThousandthsOf(each.rate), ThousandthsOf(each.fallback_rate),
+                     ThousandthsOf(each.initial_tokens)}));
   }
-  return json::array({rates.allocates, rates.counts, std::move(usage), std::move(grants)});
+  return json::array({rates.sender_is_allocator, rates.receiver_is_coordinator, std::move(usage),
+                      std::move(grants)});
 }
 
 tenants::rate_message RatesFrom(const json& value) {
   tenants::rate_message rates;
-  rates.allocates = value.at(0).get<bool>();
-  rates.counts = value.at(1).get<bool>();
+  rates.sender_is_allocator = value.at(0).get<bool>();
+  rates.receiver_is_coordinator = value.at(1).get<bool>();
   for (const json& each : value.at(2)) {
     rates.usage.push_back({each.at(0).get<std::uint32_t>(), each.at(1).get<std::uint64_t>(),
                            each.at(2).get<std::uint64_t>()});
--- a/src/proxy/read_placement.cc
+++ b/src/proxy/read_placement.cc
@@ -109,8 +109,8 @@
   std::vector<Placement> last;
   for (const std::string& id : members) {
     const Backend& backend = backends_.All().at(id);
-    const access::verdict verdict = access_.judge(backend.Entry(), work, now).outcome;
-    if (verdict >= access::verdict::later) {
+    const access::access_level verdict = access_.evaluate(backend.Entry(), work, now).level;
+    if (verdict >= access::access_level::deferred) {
       continue;
     }
     auto placement = PlaceAt(backend, id == usable_primary, group, required, now);
@@ -118,10 +118,11 @@
       continue;
     }
     const bool leaves = backend.draining_since || backend.unlisted_since;
-    if (leaves || verdict == access::verdict::last_resort) {
+    if (leaves || verdict == access::access_level::last_resort) {
       last.push_back(std::move(*placement));
     } else {
-      (verdict == access::verdict::overflow ? overflow : staying).push_back(std::move(*placement));
+      (verdict == access::access_level::overflow ? overflow : staying)
+          .push_back(std::move(*placement));
     }
   }
   const auto cheaper = [](const Placement& a, const Placement& b) { return a.cost_us < b.cost_us; };
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -85,7 +85,7 @@
   ++refused_outside_;
   outbox_.Emit(CloseSession{
       session, true, model::ErrorCode::kBusy,
-      "retry_after_ms=" + Milliseconds(regions::COME_BACK) + " " + regions::OUTSIDE_REGIONS});
+      "retry_after_ms=" + Milliseconds(regions::RETRY_AFTER) + " " + regions::OUTSIDE_REGIONS});
 }
 
 void SessionRelay::Take(SessionNumber session, const Start& start, common::Instant now) {
--- a/src/regions/allowed_regions.cc
+++ b/src/regions/allowed_regions.cc
@@ -5,7 +5,7 @@
 
 namespace valvekeel::regions {
 
-allowed_regions allowed_regions::both(const allowed_regions& other) const {
+allowed_regions allowed_regions::intersect(const allowed_regions& other) const {
   if (this->is_everywhere) {
     return other;
   }
--- a/src/regions/allowed_regions.h
+++ b/src/regions/allowed_regions.h
@@ -22,7 +22,7 @@
       : names(named.begin(), named.end()), is_everywhere(named.empty()) {}
 
   /** @return the regions that both allow. */
-  allowed_regions both(const allowed_regions& other) const;
+  allowed_regions intersect(const allowed_regions& other) const;
 
   /** @param region  empty if it is not known: then only "everywhere" allows it */
   bool allows(const std::string& region) const {
--- a/src/regions/region_policy.cc
+++ b/src/regions/region_policy.cc
@@ -9,7 +9,7 @@
 bool region_policy::set_configuration(const model::Configuration& configuration) {
   const auto routes_before = std::exchange(this->routes, {});
   const auto tenants_before = std::exchange(this->tenants, {});
-  this->take_routes(configuration);
+  this->apply_routes(configuration);
   for (const auto& [name, tenant] : configuration.tenants) {
     if (!tenant.allowed_regions.empty()) {
       this->tenants.emplace(name, allowed_regions(tenant.allowed_regions));
@@ -22,7 +22,7 @@
   return this->routes != routes_before || this->tenants != tenants_before;
 }
 
-void region_policy::take_routes(const model::Configuration& configuration) {
+void region_policy::apply_routes(const model::Configuration& configuration) {
   by_name<allowed_regions> common;
   for (const auto& [database, route] : configuration.routes) {
     const allowed_regions allowed(route.allowed_regions);
@@ -30,7 +30,7 @@
       this->routes.emplace(database, route_regions{allowed, route.is_public});
     }
     allowed_regions& of_service = common[route.service];
-    of_service = of_service.both(allowed);
+    of_service = of_service.intersect(allowed);
   }
   this->by_service.clear();
   for (const auto& [service, allowed] : common) {
@@ -62,7 +62,7 @@
   const bool is_public = route != this->routes.end() && route->second.is_public;
   const auto of_tenant = this->tenants.find(tenant);
   return is_public || of_tenant == this->tenants.end() ? of_route
-                                                       : of_route.both(of_tenant->second);
+                                                       : of_route.intersect(of_tenant->second);
 }
 
 bool region_policy::allows_anywhere(std::string_view database, std::string_view tenant) const {
@@ -73,7 +73,7 @@
   return both.everywhere() || both.allows_any(this->directory.all());
 }
 
-bool region_policy::suits_leader(std::string_view service, const std::string& zone) const {
+bool region_policy::allows_leader(std::string_view service, const std::string& zone) const {
   const auto found = this->by_service.find(service);
   return found == this->by_service.end() || found->second.allows(this->directory.region_of(zone));
 }
--- a/src/regions/region_policy.h
+++ b/src/regions/region_policy.h
@@ -46,7 +46,7 @@
    * @return true if every route of the service may run in the zone; also if no region of the
    * deployment is allowed for all of them, since then none is better than another
    */
-  bool suits_leader(std::string_view service, const std::string& zone) const;
+  bool allows_leader(std::string_view service, const std::string& zone) const;
 
  private:
   struct route_regions {
@@ -59,7 +59,7 @@
   template <typename Value>
   using by_name = std::map<std::string, Value, std::less<>>;
 
-  void take_routes(const model::Configuration& configuration);
+  void apply_routes(const model::Configuration& configuration);
   allowed_regions allowed(std::string_view database, std::string_view tenant) const;
 
   region_directory directory;
--- a/src/regions/region_rule.h
+++ b/src/regions/region_rule.h
@@ -16,21 +16,21 @@
 
 /** Time after which refused work may come back: regions change with a configuration only, and a
  * primary is replaced within about this time. */
-inline constexpr common::Duration COME_BACK{1'000'000};
+inline constexpr common::Duration RETRY_AFTER{1'000'000};
 
 class region_rule : public access::rule {
  public:
   /** @param policy  outlives the rule */
   explicit region_rule(const region_policy& policy) : policy(policy) {}
 
-  access::answer judge(const model::InstanceEntry& instance, const access::work& asked,
-                       common::Instant now) const override;
+  access::decision evaluate(const model::InstanceEntry& instance, const access::work& requested,
+                            common::Instant now) const override;
 
-  access::leader_answer judge_leader(const model::InstanceEntry& instance,
-                                     common::Instant now) const override;
+  access::leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
+                                            common::Instant now) const override;
 
-  void note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                 common::Instant now) override;
+  void on_sent(const model::InstanceEntry& instance, std::size_t requests,
+               common::Instant now) override;
 
  private:
   const region_policy& policy;
--- a/src/tenants/admission.cc
+++ b/src/tenants/admission.cc
@@ -5,7 +5,7 @@
 
 /** Time to come back without proof: a daemon that has just come has it within a few calls to the
  * store, and one that is cut off from it is asked in vain. */
-constexpr common::Duration UNPROVEN_COME_BACK{300'000};
+constexpr common::Duration UNPROVEN_RETRY_AFTER{300'000};
 
 }  // namespace
 
@@ -31,13 +31,13 @@
   result.proof_age = age.value_or(common::Duration(-1));
   if (this->is_unproven(now)) {
     // A key that is unknown here may be a new one.
-    result.outcome = verdict::unproven;
-    result.come_back = UNPROVEN_COME_BACK;
+    result.outcome = admission_outcome::unproven;
+    result.retry_after = UNPROVEN_RETRY_AFTER;
     return result;
   }
   const std::string* tenant = this->keys.find(key);
   if (tenant == nullptr) {
-    result.outcome = verdict::unknown_key;
+    result.outcome = admission_outcome::unknown_key;
     return result;
   }
   result.tenant = *tenant;
@@ -51,29 +51,29 @@
 
 admission_result admission::admit(bool is_public, const key_digest& key, common::Instant now) {
   admission_result result = this->identify(is_public, key, now);
-  if (result.outcome != verdict::admitted || result.tenant.empty()) {
+  if (result.outcome != admission_outcome::admitted || result.tenant.empty()) {
     return result;
   }
   const auto wait = this->rates.admit(result.tenant, now);
   if (wait) {
-    result.outcome = verdict::over_limit;
-    result.come_back = *wait;
+    result.outcome = admission_outcome::over_limit;
+    result.retry_after = *wait;
   }
   return result;
 }
 
-void admission::note_refused(verdict outcome) {
+void admission::record_refusal(admission_outcome outcome) {
   switch (outcome) {
-    case verdict::unknown_key:
+    case admission_outcome::unknown_key:
       ++this->counts.unknown_key;
       return;
-    case verdict::unproven:
+    case admission_outcome::unproven:
       ++this->counts.unproven;
       return;
-    case verdict::over_limit:
+    case admission_outcome::over_limit:
       ++this->counts.over_limit;
       return;
-    case verdict::admitted:
+    case admission_outcome::admitted:
       return;
   }
 }
--- a/src/tenants/admission.h
+++ b/src/tenants/admission.h
@@ -12,14 +12,14 @@
 #include <string>
 
 #include "common/time.h"
-#include "tenants/directory.h"
 #include "tenants/freshness.h"
+#include "tenants/key_directory.h"
 #include "tenants/rate_limiter.h"
 #include "tenants/tenant.h"
 
 namespace valvekeel::tenants {
 
-enum class verdict : std::uint8_t {
+enum class admission_outcome : std::uint8_t {
   admitted,
   unknown_key,  // no tenant has the key
   unproven,     // the keys in force may be out of date
@@ -28,10 +28,10 @@
 
 /** What was decided about a caller. */
 struct admission_result {
-  verdict outcome = verdict::admitted;
-  std::string tenant;              // empty on a public route, and where no keys are used
-  common::Duration come_back{0};   // time until another try is worth it
-  common::Duration proof_age{-1};  // since the keys were known to be in force; negative: never
+  admission_outcome outcome = admission_outcome::admitted;
+  std::string tenant;               // empty on a public route, and where no keys are used
+  common::Duration retry_after{0};  // time until another try is worth it
+  common::Duration proof_age{-1};   // since the keys were known to be in force; negative: never
 };
 
 /** Counters for metrics. */
@@ -59,10 +59,10 @@
   admission_result admit(bool is_public, const key_digest& key, common::Instant now);
 
   /** Counts a refusal that followed from a result. */
-  void note_refused(verdict outcome);
+  void record_refusal(admission_outcome outcome);
 
   /** @return true if nothing keyed can be admitted now for want of proof. */
-  bool is_unproven(common::Instant now) const { return !this->proofs.holds(this->version, now); }
+  bool is_unproven(common::Instant now) const { return !this->proofs.is_fresh(this->version, now); }
 
   freshness& proof() { return this->proofs; }
   const freshness& proof() const { return this->proofs; }
@@ -73,7 +73,7 @@
 
  private:
   const tenant_policy& policy;
-  directory keys;
+  key_directory keys;
   freshness proofs;
   rate_limiter rates;
   std::uint64_t version = 0;
--- a/src/tenants/freshness.cc
+++ b/src/tenants/freshness.cc
@@ -6,22 +6,22 @@
 namespace {
 
 /** Versions whose proofs are kept: a daemon may be a few behind. */
-constexpr std::size_t KEPT = 4;
+constexpr std::size_t MAX_VERSIONS = 4;
 
 /** Taken off the limit, for clocks that do not run alike: a twentieth. */
-constexpr int MARGIN_PART = 20;
+constexpr int MARGIN_DIVISOR = 20;
 
 }  // namespace
 
-void freshness::note(const version_proof& proof) {
-  common::Instant& known = this->proofs[proof.version];
-  known = std::max(known, proof.read_at);
-  while (this->proofs.size() > KEPT) {
+void freshness::record_proof(const version_proof& proof) {
+  common::Instant& latest_read = this->proofs[proof.version];
+  latest_read = std::max(latest_read, proof.read_at);
+  while (this->proofs.size() > MAX_VERSIONS) {
     this->proofs.erase(this->proofs.begin());
   }
 }
 
-std::optional<version_proof> freshness::newest() const {
+std::optional<version_proof> freshness::newest_proof() const {
   if (this->proofs.empty()) {
     return std::nullopt;
   }
@@ -47,12 +47,12 @@
   return now - *at;
 }
 
-bool freshness::holds(std::uint64_t version, common::Instant now) const {
+bool freshness::is_fresh(std::uint64_t version, common::Instant now) const {
   if (!this->required()) {
     return true;
   }
-  const auto since = this->age(version, now);
-  return since && *since < this->limit - this->limit / MARGIN_PART;
+  const auto proof_age = this->age(version, now);
+  return proof_age && *proof_age < this->limit - this->limit / MARGIN_DIVISOR;
 }
 
 }  // namespace valvekeel::tenants
--- a/src/tenants/freshness.h
+++ b/src/tenants/freshness.h
@@ -35,16 +35,16 @@
   bool required() const { return this->limit.count() > 0; }
 
   /** Takes a proof, of this daemon's own read or another's. */
-  void note(const version_proof& proof);
+  void record_proof(const version_proof& proof);
 
   /** @return the newest proof heard, whatever version is in force here. */
-  std::optional<version_proof> newest() const;
+  std::optional<version_proof> newest_proof() const;
 
   /** @return the newest instant at which no version above this one was in the store. */
   std::optional<common::Instant> proven_at(std::uint64_t version) const;
 
   /** @return true if keys of this version may be admitted now. */
-  bool holds(std::uint64_t version, common::Instant now) const;
+  bool is_fresh(std::uint64_t version, common::Instant now) const;
 
   /** @return time since the newest proof that covers the version; nothing if there was none. */
   std::optional<common::Duration> age(std::uint64_t version, common::Instant now) const;
--- a/src/tenants/key_digest.cc
+++ b/src/tenants/key_digest.cc
@@ -33,8 +33,8 @@
   const char* end = nullptr;
   const int failed = sodium_hex2bin(digest.bytes.data(), key_digest::SIZE, digits.data(),
                                     digits.size(), nullptr, &length, &end);
-  const bool whole = end == digits.data() + digits.size();
-  if (failed != 0 || length != key_digest::SIZE || !whole) {
+  const bool complete = end == digits.data() + digits.size();
+  if (failed != 0 || length != key_digest::SIZE || !complete) {
     return std::nullopt;
   }
   return digest;
--- a/src/tenants/directory.cc
+++ b/src/tenants/key_directory.cc
@@ -1,8 +1,8 @@
-#include "tenants/directory.h"
+#include "tenants/key_directory.h"
 
 namespace valvekeel::tenants {
 
-void directory::set(const std::map<std::string, tenant>& tenants) {
+void key_directory::set(const std::map<std::string, tenant>& tenants) {
   this->by_key.clear();
   for (const auto& [name, each] : tenants) {
     for (const key_digest& key : each.keys) {
@@ -11,7 +11,7 @@
   }
 }
 
-const std::string* directory::find(const key_digest& key) const {
+const std::string* key_directory::find(const key_digest& key) const {
   const auto found = this->by_key.find(key);
   return found == this->by_key.end() ? nullptr : &found->second;
 }
--- a/src/tenants/directory.h
+++ b/src/tenants/key_directory.h
@@ -15,7 +15,7 @@
 
 namespace valvekeel::tenants {
 
-class directory {
+class key_directory {
  public:
   /** Takes all tenants anew. */
   void set(const std::map<std::string, tenant>& tenants);
--- a/src/tenants/rate_allocator.cc
+++ b/src/tenants/rate_allocator.cc
@@ -10,148 +10,155 @@
  * at five times its rate empties half of a bucket of one second in an eighth of a second; the
  * counts of 0.25 s are on their way then, which the slack and the overage of the users' limit
  * contain. */
-constexpr double HOLD_BELOW = 0.5;
-constexpr double RELEASE_FROM = 0.9;
+constexpr double THROTTLE_BELOW = 0.5;
+constexpr double UNTHROTTLE_FROM = 0.9;
 /** Filling that is presumed before anything was heard: all daemons may have come back together. */
-constexpr double PRESUMED = 0.6;
+constexpr double INITIAL_FILL = 0.6;
 /** Part of the policy's slack by which a bucket is larger than the tenant's burst: tenants with few
  * operations a second have them in lumps. */
-constexpr double SLACK_PART = 0.5;
+constexpr double SLACK_FACTOR = 0.5;
 /** Time in which what a bucket holds is given out, and what it lacks is made up for. */
-constexpr double TOKEN_SECONDS = 1;
+constexpr double REDISTRIBUTION_SECONDS = 1;
 /** Longest time that a daemon's counts are taken to stand for: what is older was paid for by what
  * flowed into the bucket meanwhile. */
-constexpr common::Duration LONGEST_COUNTED{1'000'000};
+constexpr common::Duration MAX_COUNTED_INTERVAL{1'000'000};
 /** Time over which a daemon's demand is averaged. */
 constexpr double DEMAND_SECONDS = 1;
 /** Demand that every daemon is taken to have at least, operations a second: one that has none now
  * may get a session the next moment. */
-constexpr double LEAST_DEMAND = 0.1;
+constexpr double MIN_DEMAND = 0.1;
 /** Change of a grant, in rates, of which all hear at once; and the time between two such. */
-constexpr double MUCH = 0.3;
-constexpr common::Duration TELL_PAUSE{100'000};
+constexpr double SIGNIFICANT_CHANGE = 0.3;
+constexpr common::Duration NOTIFY_INTERVAL{100'000};
 
 }  // namespace
 
 void rate_allocator::set_tenants(const std::map<std::string, tenant>& tenants,
                                  common::Instant now) {
-  this->advance(now);
-  std::unordered_map<std::uint32_t, state> next;
+  this->refill(now);
+  std::unordered_map<std::uint32_t, tenant_state> next;
   for (const auto& [name, each] : tenants) {
-    const std::uint32_t id = id_of(name);
+    const std::uint32_t id = tenant_id_of(name);
     const auto known = this->states.find(id);
-    state& made = next[id];
+    tenant_state& entry = next[id];
     const bool is_new = known == this->states.end();
     if (!is_new) {
-      made = std::move(known->second);
+      entry = std::move(known->second);
     }
-    made.rate = each.rate;
-    made.size = each.burst + SLACK_PART * this->policy.rate_slack;
-    made.tokens = is_new ? PRESUMED * made.size : std::min(made.tokens, made.size);
+    entry.rate = each.rate;
+    entry.capacity = each.burst + SLACK_FACTOR * this->policy.rate_slack;
+    entry.tokens = is_new ? INITIAL_FILL * entry.capacity : std::min(entry.tokens, entry.capacity);
   }
   this->states = std::move(next);
 }
 
-double rate_allocator::demand(const part& of, common::Instant now) {
-  return of.demand * std::exp(-in_seconds(now - of.demand_at) / DEMAND_SECONDS);
+double rate_allocator::current_demand(const daemon_usage& usage, common::Instant now) {
+  return usage.demand * std::exp(-in_seconds(now - usage.demand_at) / DEMAND_SECONDS);
 }
 
-void rate_allocator::note_usage(const std::string& daemon, std::uint64_t incarnation,
-                                const std::vector<usage_count>& counts, common::Instant now) {
-  this->advance(now);
-  const auto life = this->lives.find(daemon);
-  const bool first = life == this->lives.end();
-  const bool new_life = !first && life->second.incarnation != incarnation;
-  const bool from_start = new_life || (!first && life->second.heard_from_start);
-  const common::Duration silent = first ? common::Duration(0) : now - life->second.heard;
-  const double counted =
-      std::min(1.0, in_seconds(LONGEST_COUNTED) / std::max(in_seconds(silent), 1e-3));
-  this->lives[daemon] = {incarnation, now, from_start};
+void rate_allocator::record_usage(const std::string& daemon, std::uint64_t incarnation,
+                                  const std::vector<usage_count>& counts, common::Instant now) {
+  this->refill(now);
+  const auto reporter = this->daemons.find(daemon);
+  const bool is_first_report = reporter == this->daemons.end();
+  const bool restarted = !is_first_report && reporter->second.incarnation != incarnation;
+  const bool starts_from_zero =
+      restarted || (!is_first_report && reporter->second.counts_from_zero);
+  const common::Duration since_last_report =
+      is_first_report ? common::Duration(0) : now - reporter->second.last_report_at;
+  const double counted_fraction = std::min(
+      1.0, in_seconds(MAX_COUNTED_INTERVAL) / std::max(in_seconds(since_last_report), 1e-3));
+  this->daemons[daemon] = {incarnation, now, starts_from_zero};
   for (const usage_count& each : counts) {
     const auto found = this->states.find(each.tenant);
     if (found == this->states.end()) {
       continue;
     }
-    state& of = found->second;
-    part& told = of.parts[daemon];
-    const bool known = told.incarnation == incarnation;
+    tenant_state& entry = found->second;
+    daemon_usage& usage = entry.usage_by_daemon[daemon];
+    const bool same_incarnation = usage.incarnation == incarnation;
     // The first count of a life that began unheard says nothing of when it was made.
-    const usage_count before = known ? told.last : (from_start ? usage_count{} : each);
-    told.incarnation = incarnation;
-    if (each.offered < before.offered || each.admitted < before.admitted) {
+    const usage_count previous =
+        same_incarnation ? usage.last_counts : (starts_from_zero ? usage_count{} : each);
+    usage.incarnation = incarnation;
+    if (each.offered < previous.offered || each.admitted < previous.admitted) {
       continue;  // an older message
     }
-    of.tokens -= counted * static_cast<double>(each.admitted - before.admitted);
-    told.demand = rate_allocator::demand(told, now) +
-                  counted * static_cast<double>(each.offered - before.offered) / DEMAND_SECONDS;
-    told.demand_at = now;
-    told.last = each;
-    this->judge(of, now);
+    entry.tokens -= counted_fraction * static_cast<double>(each.admitted - previous.admitted);
+    usage.demand =
+        rate_allocator::current_demand(usage, now) +
+        counted_fraction * static_cast<double>(each.offered - previous.offered) / DEMAND_SECONDS;
+    usage.demand_at = now;
+    usage.last_counts = each;
+    this->update_throttling(entry, now);
   }
 }
 
-void rate_allocator::advance(common::Instant now) {
-  const double passed = in_seconds(now - this->filled_at);
+void rate_allocator::refill(common::Instant now) {
+  const double passed = in_seconds(now - this->refilled_at);
   if (passed <= 0) {
     return;
   }
-  this->filled_at = now;
-  for (auto& [id, of] : this->states) {
-    of.tokens = std::min(of.size, of.tokens + of.rate * passed);
+  this->refilled_at = now;
+  for (auto& [id, entry] : this->states) {
+    entry.tokens = std::min(entry.capacity, entry.tokens + entry.rate * passed);
   }
 }
 
-double rate_allocator::left(const std::string& tenant) const {
-  const auto found = this->states.find(id_of(tenant));
+double rate_allocator::remaining_tokens(const std::string& tenant) const {
+  const auto found = this->states.find(tenant_id_of(tenant));
   return found == this->states.end() ? 0 : found->second.tokens;
 }
 
-double rate_allocator::rate_for(const state& of) {
-  return std::max(0.0, of.rate + of.tokens / TOKEN_SECONDS);
+double rate_allocator::grantable_rate(const tenant_state& entry) {
+  return std::max(0.0, entry.rate + entry.tokens / REDISTRIBUTION_SECONDS);
 }
 
-void rate_allocator::judge(state& of, common::Instant now) {
-  const bool before = of.is_held_back;
-  const bool low = of.rate > 0 && of.tokens < HOLD_BELOW * of.size;
-  const bool filled = of.tokens >= RELEASE_FROM * of.size;
-  of.is_held_back = low || (before && !filled);
-  const double granted = of.is_held_back ? rate_allocator::rate_for(of) : 0;
-  const bool much = std::abs(granted - of.granted) > MUCH * std::max(1.0, of.rate);
-  const bool tells = now >= of.told_at + TELL_PAUSE;
-  if (of.is_held_back != before || (of.is_held_back && much && tells)) {
-    of.told_at = now;
-    this->changed = true;
-    of.granted = granted;
+void rate_allocator::update_throttling(tenant_state& entry, common::Instant now) {
+  const bool was_throttled = entry.is_throttled;
+  const bool low = entry.rate > 0 && entry.tokens < THROTTLE_BELOW * entry.capacity;
+  const bool filled = entry.tokens >= UNTHROTTLE_FROM * entry.capacity;
+  entry.is_throttled = low || (was_throttled && !filled);
+  const double granted = entry.is_throttled ? rate_allocator::grantable_rate(entry) : 0;
+  const bool significant =
+      std::abs(granted - entry.granted_rate) > SIGNIFICANT_CHANGE * std::max(1.0, entry.rate);
+  const bool may_notify = now >= entry.notified_at + NOTIFY_INTERVAL;
+  if (entry.is_throttled != was_throttled || (entry.is_throttled && significant && may_notify)) {
+    entry.notified_at = now;
+    this->grants_changed = true;
+    entry.granted_rate = granted;
   }
 }
 
 bool rate_allocator::tick(common::Instant now) {
-  this->advance(now);
-  for (auto& [id, of] : this->states) {
-    this->judge(of, now);
+  this->refill(now);
+  for (auto& [id, entry] : this->states) {
+    this->update_throttling(entry, now);
   }
-  const bool had = this->changed;
-  this->changed = false;
-  return had;
+  const bool notify = this->grants_changed;
+  this->grants_changed = false;
+  return notify;
 }
 
 std::vector<rate_grant> rate_allocator::grants_for(const std::string& daemon) const {
   std::vector<rate_grant> grants;
-  for (const auto& [id, of] : this->states) {
-    if (!of.is_held_back) {
+  for (const auto& [id, entry] : this->states) {
+    if (!entry.is_throttled) {
       continue;
     }
-    double own = LEAST_DEMAND;
-    double total = LEAST_DEMAND;
-    for (const auto& [name, each] : of.parts) {
-      const double asked = rate_allocator::demand(each, this->filled_at);
-      total += asked + LEAST_DEMAND;
-      own += name == daemon ? asked : 0;
+    double own_demand = MIN_DEMAND;
+    double total_demand = MIN_DEMAND;
+    for (const auto& [name, each] : entry.usage_by_daemon) {
+      const double demand = rate_allocator::current_demand(each, this->refilled_at);
+      total_demand += demand + MIN_DEMAND;
+      own_demand += name == daemon ? demand : 0;
     }
-    const double share = own / total;
-    const double first =
-        std::max(0.0, of.tokens) / static_cast<double>(std::max<std::size_t>(1, of.parts.size()));
-    grants.push_back({id, rate_for(of) * share, of.rate * share, std::min(1.0, first)});
+    const double share = own_demand / total_demand;
+    const double initial_tokens =
+        std::max(0.0, entry.tokens) /
+        static_cast<double>(std::max<std::size_t>(1, entry.usage_by_daemon.size()));
+    grants.push_back(
+        {id, grantable_rate(entry) * share, entry.rate * share, std::min(1.0, initial_tokens)});
   }
   return grants;
 }
--- a/src/tenants/rate_allocator.h
+++ b/src/tenants/rate_allocator.h
@@ -36,8 +36,8 @@
    *
    * @param incarnation  of the daemon: another life counts from zero
    */
-  void note_usage(const std::string& daemon, std::uint64_t incarnation,
-                  const std::vector<usage_count>& counts, common::Instant now);
+  void record_usage(const std::string& daemon, std::uint64_t incarnation,
+                    const std::vector<usage_count>& counts, common::Instant now);
 
   /** Moves on in time. @return true if the grants of some tenant changed by much: all daemons
    * should hear of it now. */
@@ -48,42 +48,42 @@
 
   /** @return operations that the tenant's bucket holds; below zero, what was let through too much.
    */
-  double left(const std::string& tenant) const;
+  double remaining_tokens(const std::string& tenant) const;
 
  private:
   /** The life of a daemon whose counts come. */
-  struct daemon_life {
+  struct daemon_state {
     std::uint64_t incarnation = 0;
-    common::Instant heard{0};
-    bool heard_from_start = false;  // an earlier life was heard: this one counts from zero
+    common::Instant last_report_at{0};
+    bool counts_from_zero = false;  // an earlier life was heard: this one counts from zero
   };
   /** One daemon's part in a tenant. */
-  struct part {
-    usage_count last;
+  struct daemon_usage {
+    usage_count last_counts;
     double demand = 0;  // operations a second, lately
     common::Instant demand_at{0};
     std::uint64_t incarnation = 0;
   };
-  struct state {
+  struct tenant_state {
     double rate = 0;
-    double size = 0;  // of the bucket
+    double capacity = 0;  // of the bucket
     double tokens = 0;
-    std::unordered_map<std::string, part> parts;
-    bool is_held_back = false;
-    double granted = 0;          // operations a second, to all daemons
-    common::Instant told_at{0};  // when all were to hear of it at once
+    std::unordered_map<std::string, daemon_usage> usage_by_daemon;
+    bool is_throttled = false;
+    double granted_rate = 0;         // operations a second, to all daemons
+    common::Instant notified_at{0};  // when all were to hear of it at once
   };
 
-  static double demand(const part& of, common::Instant now);
-  static double rate_for(const state& of);
-  void advance(common::Instant now);
-  void judge(state& of, common::Instant now);
+  static double current_demand(const daemon_usage& usage, common::Instant now);
+  static double grantable_rate(const tenant_state& entry);
+  void refill(common::Instant now);
+  void update_throttling(tenant_state& entry, common::Instant now);
 
   const tenant_policy& policy;
-  std::unordered_map<std::uint32_t, state> states;     // by the tenant's id
-  std::unordered_map<std::string, daemon_life> lives;  // by daemon
-  bool changed = false;
-  common::Instant filled_at{0};
+  std::unordered_map<std::uint32_t, tenant_state> states;  // by the tenant's id
+  std::unordered_map<std::string, daemon_state> daemons;   // by daemon
+  bool grants_changed = false;
+  common::Instant refilled_at{0};
 };
 
 }  // namespace valvekeel::tenants
--- a/src/tenants/rate_limiter.cc
+++ b/src/tenants/rate_limiter.cc
@@ -10,184 +10,189 @@
 
 /** Silence of the allocator after which a daemon goes by itself: nearly three of its
  * heartbeats. */
-constexpr common::Duration ALLOCATOR_SILENCE{700'000};
+constexpr common::Duration ALLOCATOR_TIMEOUT{700'000};
 
 /** Time over which a tenant's usual rate is averaged: near the users' window of 5 s, so that what a
  * daemon lets through by itself follows what the window has seen. */
-constexpr double USUAL_SECONDS = 3;
+constexpr double RECENT_RATE_SECONDS = 3;
 
 /** Without an allocator a daemon lets through this much of the usual rate. A tenant within its
  * limit uses at most four fifths of what the limit and its burst allow, so the sum stays within
  * both. */
-constexpr double ALONE_FACTOR = 1.25;
+constexpr double FALLBACK_FACTOR = 1.25;
 
 /** Operations that may come at once at a daemon that holds a tenant back: at least, and in seconds
  * of its grant. */
-constexpr double HELD_BURST = 3;
-constexpr double HELD_BURST_SECONDS = 0.5;
+constexpr double MIN_GRANTED_BURST = 3;
+constexpr double GRANTED_BURST_SECONDS = 0.5;
 
 /** Operations that may come at once without an allocator, at least: sessions come in lumps. */
-constexpr double ALONE_BURST = 3;
+constexpr double MIN_FALLBACK_BURST = 3;
 
 /** Operations that a tenant may begin with at a daemon that has just come. */
-constexpr double NEW_TOKENS = 1;
+constexpr double INITIAL_TOKENS = 1;
 
 /** A slice of time, and how many operations in one, beyond the usual, are a surge. */
-constexpr common::Duration SLICE{100'000};
+constexpr common::Duration SURGE_SLICE{100'000};
 constexpr double SURGE_FACTOR = 2;
-constexpr double SURGE_LEAST = 8;
+constexpr double MIN_SURGE = 8;
 
 /** Longest time to come back that a caller is told: grants change every few hundred ms. */
-constexpr common::Duration LONGEST_WAIT{1'000'000};
+constexpr common::Duration MAX_RETRY_AFTER{1'000'000};
 
 }  // namespace
 
 void rate_limiter::set_tenants(const std::map<std::string, tenant>& tenants) {
-  std::unordered_map<std::string, state> next;
-  this->names.clear();
+  std::unordered_map<std::string, tenant_state> next;
+  this->names_by_id.clear();
   for (const auto& [name, each] : tenants) {
     const auto known = this->states.find(name);
-    state& made = next[name];
+    tenant_state& entry = next[name];
     if (known != this->states.end()) {
-      made = std::move(known->second);
+      entry = std::move(known->second);
     }
-    if (made.name.empty()) {
-      made.tokens = NEW_TOKENS;
+    if (entry.name.empty()) {
+      entry.tokens = INITIAL_TOKENS;
     }
-    made.name = name;
-    made.rate_limit = each.rate;
-    made.count.tenant = id_of(name);
-    this->names[made.count.tenant] = name;
+    entry.name = name;
+    entry.rate_limit = each.rate;
+    entry.count.tenant = tenant_id_of(name);
+    this->names_by_id[entry.count.tenant] = name;
   }
   this->states = std::move(next);
 }
 
-rate_limiter::state* rate_limiter::find(const std::string& tenant) {
+rate_limiter::tenant_state* rate_limiter::find(const std::string& tenant) {
   const auto found = this->states.find(tenant);
   return found == this->states.end() ? nullptr : &found->second;
 }
 
-bool rate_limiter::allocator_silent(common::Instant now) const {
-  return !this->allocator_heard || now >= *this->allocator_heard + ALLOCATOR_SILENCE;
+bool rate_limiter::allocator_unresponsive(common::Instant now) const {
+  return !this->last_grants_at || now >= *this->last_grants_at + ALLOCATOR_TIMEOUT;
 }
 
-rate_limiter::bucket rate_limiter::bucket_of(const state& of, common::Instant now) const {
-  if (of.grant && !this->allocator_silent(now)) {
-    return {of.grant->rate, std::max(HELD_BURST, of.grant->rate * HELD_BURST_SECONDS)};
+rate_limiter::bucket_parameters rate_limiter::bucket_of(const tenant_state& entry,
+                                                        common::Instant now) const {
+  if (entry.grant && !this->allocator_unresponsive(now)) {
+    return {entry.grant->rate,
+            std::max(MIN_GRANTED_BURST, entry.grant->rate * GRANTED_BURST_SECONDS)};
   }
   // As it was when the allocator was last heard: what a daemon lets through by itself must not
   // raise what it lets through next.
-  const Duration idle = std::max(Duration(0), this->allocator_heard.value_or(now) - of.usual_at);
-  const double usual = of.usual * std::exp(-in_seconds(idle) / USUAL_SECONDS);
-  const double share = of.rate_limit / static_cast<double>(std::max<std::size_t>(1, this->sharing));
+  const Duration idle =
+      std::max(Duration(0), this->last_grants_at.value_or(now) - entry.recent_rate_at);
+  const double decayed_rate = entry.recent_rate * std::exp(-in_seconds(idle) / RECENT_RATE_SECONDS);
+  const double share =
+      entry.rate_limit / static_cast<double>(std::max<std::size_t>(1, this->sharing_daemons));
   // With a grant the last word was that the tenant is near its limit.
-  const double rate = of.grant ? of.grant->sustained : std::max(ALONE_FACTOR * usual, share);
-  return {rate, std::max(ALONE_BURST, rate)};
+  const double rate =
+      entry.grant ? entry.grant->fallback_rate : std::max(FALLBACK_FACTOR * decayed_rate, share);
+  return {rate, std::max(MIN_FALLBACK_BURST, rate)};
 }
 
-void rate_limiter::note_offered(state& of, common::Instant now) {
-  ++of.count.offered;
-  of.changed = now;
-  if (now >= of.slice_began + SLICE) {
-    of.slice_began = now;
-    of.in_slice = 0;
+void rate_limiter::record_offered(tenant_state& entry, common::Instant now) {
+  ++entry.count.offered;
+  entry.changed_at = now;
+  if (now >= entry.slice_start + SURGE_SLICE) {
+    entry.slice_start = now;
+    entry.offered_in_slice = 0;
   }
-  ++of.in_slice;
-  const double expected = of.usual * in_seconds(SLICE);
-  if (of.in_slice > std::max(SURGE_LEAST, SURGE_FACTOR * expected)) {
+  ++entry.offered_in_slice;
+  const double expected = entry.recent_rate * in_seconds(SURGE_SLICE);
+  if (entry.offered_in_slice > std::max(MIN_SURGE, SURGE_FACTOR * expected)) {
     this->surge = true;
-    of.in_slice = 0;
+    entry.offered_in_slice = 0;
   }
 }
 
-void rate_limiter::note_admitted(state& of, common::Instant now) {
-  ++of.count.admitted;
-  of.changed = now;
-  if (this->allocator_silent(now)) {
+void rate_limiter::record_admitted(tenant_state& entry, common::Instant now) {
+  ++entry.count.admitted;
+  entry.changed_at = now;
+  if (this->allocator_unresponsive(now)) {
     return;
   }
-  const double kept = std::exp(-in_seconds(now - of.usual_at) / USUAL_SECONDS);
-  of.usual = of.usual * kept + 1 / USUAL_SECONDS;
-  of.usual_at = now;
+  const double decay = std::exp(-in_seconds(now - entry.recent_rate_at) / RECENT_RATE_SECONDS);
+  entry.recent_rate = entry.recent_rate * decay + 1 / RECENT_RATE_SECONDS;
+  entry.recent_rate_at = now;
 }
 
 std::optional<common::Duration> rate_limiter::admit(const std::string& tenant,
                                                     common::Instant now) {
-  state* of = this->find(tenant);
-  if (of == nullptr || !this->policy.rates_limited || of->rate_limit <= 0) {
+  tenant_state* entry = this->find(tenant);
+  if (entry == nullptr || !this->policy.rates_limited || entry->rate_limit <= 0) {
     return std::nullopt;
   }
-  this->note_offered(*of, now);
-  const bool held_back = of->grant || this->allocator_silent(now);
-  if (held_back) {
-    const bucket filling = this->bucket_of(*of, now);
-    const double filled = of->tokens + filling.rate * in_seconds(now - of->filled_at);
-    of->tokens = std::min(filled, filling.size);
-    of->filled_at = now;
-    if (of->tokens < 1) {
-      const double missing = (1 - of->tokens) / std::max(filling.rate, 1e-3);
-      const double wait = std::min(missing, in_seconds(LONGEST_WAIT));
-      return common::Duration(static_cast<std::int64_t>(wait * MICROSECONDS_IN_SECOND));
+  this->record_offered(*entry, now);
+  const bool throttled = entry->grant || this->allocator_unresponsive(now);
+  if (throttled) {
+    const bucket_parameters parameters = this->bucket_of(*entry, now);
+    const double filled = entry->tokens + parameters.rate * in_seconds(now - entry->refilled_at);
+    entry->tokens = std::min(filled, parameters.capacity);
+    entry->refilled_at = now;
+    if (entry->tokens < 1) {
+      const double missing = (1 - entry->tokens) / std::max(parameters.rate, 1e-3);
+      const double wait = std::min(missing, in_seconds(MAX_RETRY_AFTER));
+      return common::Duration(static_cast<std::int64_t>(wait * MICROSECONDS_PER_SECOND));
     }
-    of->tokens -= 1;
+    entry->tokens -= 1;
   }
-  this->note_admitted(*of, now);
+  this->record_admitted(*entry, now);
   return std::nullopt;
 }
 
-void rate_limiter::note_resent(const std::string& tenant, common::Instant now) {
-  state* of = this->find(tenant);
-  if (of != nullptr) {
-    this->note_admitted(*of, now);
+void rate_limiter::record_resent(const std::string& tenant, common::Instant now) {
+  tenant_state* entry = this->find(tenant);
+  if (entry != nullptr) {
+    this->record_admitted(*entry, now);
   }
 }
 
-void rate_limiter::take_grants(const std::vector<rate_grant>& grants, common::Instant now) {
-  this->allocator_heard = now;
+void rate_limiter::apply_grants(const std::vector<rate_grant>& grants, common::Instant now) {
+  this->last_grants_at = now;
   std::unordered_map<std::string, rate_grant> by_name;
   for (const rate_grant& each : grants) {
-    const auto name = this->names.find(each.tenant);
-    if (name != this->names.end()) {
+    const auto name = this->names_by_id.find(each.tenant);
+    if (name != this->names_by_id.end()) {
       by_name[name->second] = each;
     }
   }
-  for (auto& [name, of] : this->states) {
+  for (auto& [name, entry] : this->states) {
     const auto granted = by_name.find(name);
     if (granted == by_name.end()) {
-      of.grant.reset();
-      of.filled_at = now;
-      of.tokens = ALONE_BURST;  // for the time when the allocator falls silent
+      entry.grant.reset();
+      entry.refilled_at = now;
+      entry.tokens = MIN_FALLBACK_BURST;  // for the time when the allocator falls silent
       continue;
     }
-    if (!of.grant) {
-      of.tokens = granted->second.first;
-      of.filled_at = now;
+    if (!entry.grant) {
+      entry.tokens = granted->second.initial_tokens;
+      entry.refilled_at = now;
     }
-    of.grant = granted->second;
+    entry.grant = granted->second;
   }
 }
 
 std::vector<usage_count> rate_limiter::usage_since(common::Instant since) const {
   std::vector<usage_count> counts;
-  for (const auto& [name, of] : this->states) {
-    if (of.count.offered > 0 && of.changed >= since) {
-      counts.push_back(of.count);
+  for (const auto& [name, entry] : this->states) {
+    if (entry.count.offered > 0 && entry.changed_at >= since) {
+      counts.push_back(entry.count);
     }
   }
   return counts;
 }
 
-bool rate_limiter::take_surge() {
-  const bool had = this->surge;
+bool rate_limiter::consume_surge() {
+  const bool surged = this->surge;
   this->surge = false;
-  return had;
+  return surged;
 }
 
 std::map<std::string, std::uint64_t> rate_limiter::refused() const {
   std::map<std::string, std::uint64_t> by_tenant;
-  for (const auto& [name, of] : this->states) {
-    if (of.count.offered > of.count.admitted) {
-      by_tenant[name] = of.count.offered - of.count.admitted;
+  for (const auto& [name, entry] : this->states) {
+    if (entry.count.offered > entry.count.admitted) {
+      by_tenant[name] = entry.count.offered - entry.count.admitted;
     }
   }
   return by_tenant;
--- a/src/tenants/rate_limiter.h
+++ b/src/tenants/rate_limiter.h
@@ -33,7 +33,7 @@
   void set_tenants(const std::map<std::string, tenant>& tenants);
 
   /** @param daemons  that share a tenant's operations while nothing is known of their demand */
-  void set_sharing(std::size_t daemons) { this->sharing = daemons; }
+  void set_sharing_daemons(std::size_t daemons) { this->sharing_daemons = daemons; }
 
   /**
    * Counts an operation of a tenant.
@@ -43,52 +43,52 @@
   std::optional<common::Duration> admit(const std::string& tenant, common::Instant now);
 
   /** Counts an operation that is sent to an instance once more. */
-  void note_resent(const std::string& tenant, common::Instant now);
+  void record_resent(const std::string& tenant, common::Instant now);
 
   /** Takes what the allocator grants: all tenants that are to be held back. */
-  void take_grants(const std::vector<rate_grant>& grants, common::Instant now);
+  void apply_grants(const std::vector<rate_grant>& grants, common::Instant now);
 
   /** @return the counts that have changed since an instant. */
   std::vector<usage_count> usage_since(common::Instant since) const;
 
   /** @return true if some tenant's operations come much faster than they did: the allocator should
    * hear of it now. Asking resets it. */
-  bool take_surge();
+  bool consume_surge();
 
   /** @return how many operations were refused, by tenant. */
   std::map<std::string, std::uint64_t> refused() const;
 
  private:
-  struct state {
+  struct tenant_state {
     std::string name;
     double rate_limit = 0;  // operations a second over all daemons; 0: none
     usage_count count;
-    common::Instant changed{0};
-    double usual = 0;  // operations a second let through lately
-    common::Instant usual_at{0};
-    std::uint32_t in_slice = 0;  // operations offered in the present slice of time
-    common::Instant slice_began{0};
+    common::Instant changed_at{0};
+    double recent_rate = 0;  // operations a second let through lately
+    common::Instant recent_rate_at{0};
+    std::uint32_t offered_in_slice = 0;  // operations offered in the present slice of time
+    common::Instant slice_start{0};
     std::optional<rate_grant> grant;
     double tokens = 0;
-    common::Instant filled_at{0};
+    common::Instant refilled_at{0};
   };
 
-  state* find(const std::string& tenant);
-  bool allocator_silent(common::Instant now) const;
+  tenant_state* find(const std::string& tenant);
+  bool allocator_unresponsive(common::Instant now) const;
   /** What flows into a token bucket, and how much it holds at most. */
-  struct bucket {
+  struct bucket_parameters {
     double rate = 0;  // operations a second
-    double size = 0;
+    double capacity = 0;
   };
-  bucket bucket_of(const state& of, common::Instant now) const;
-  void note_offered(state& of, common::Instant now);
-  void note_admitted(state& of, common::Instant now);
+  bucket_parameters bucket_of(const tenant_state& entry, common::Instant now) const;
+  void record_offered(tenant_state& entry, common::Instant now);
+  void record_admitted(tenant_state& entry, common::Instant now);
 
   const tenant_policy& policy;
-  std::size_t sharing = 1;
-  std::unordered_map<std::string, state> states;
-  std::unordered_map<std::uint32_t, std::string> names;
-  std::optional<common::Instant> allocator_heard;
+  std::size_t sharing_daemons = 1;
+  std::unordered_map<std::string, tenant_state> states;
+  std::unordered_map<std::uint32_t, std::string> names_by_id;
+  std::optional<common::Instant> last_grants_at;
   bool surge = false;
 };
 
--- a/src/tenants/rate_messages.h
+++ b/src/tenants/rate_messages.h
@@ -23,18 +23,18 @@
 /** What one daemon may let through of a tenant that is near its limit. */
 struct rate_grant {
   std::uint32_t tenant = 0;
-  double rate = 0;       // operations a second, now
-  double sustained = 0;  // the same if the allocator falls silent
-  double first = 0;      // operations to begin with
+  double rate = 0;            // operations a second, now
+  double fallback_rate = 0;   // the same if the allocator falls silent
+  double initial_tokens = 0;  // operations to begin with
 
   bool operator==(const rate_grant&) const = default;
 };
 
 /** The part of a heartbeat that is about tenants' rates. */
 struct rate_message {
-  bool counts = false;             // the sender takes the receiver for a coordinator
-  std::vector<usage_count> usage;  // counts that the receiver may lack
-  bool allocates = false;          // the sender works out the grants for all daemons
+  bool receiver_is_coordinator = false;  // the sender takes the receiver for a coordinator
+  std::vector<usage_count> usage;        // counts that the receiver may lack
+  bool sender_is_allocator = false;      // the sender works out the grants for all daemons
   std::vector<rate_grant> grants;  // the receiver's; tenants that are missing are not held back
 };
 
--- a/src/tenants/tenant.cc
+++ b/src/tenants/tenant.cc
@@ -4,7 +4,7 @@
 
 namespace valvekeel::tenants {
 
-std::uint32_t id_of(const std::string& tenant) {
+std::uint32_t tenant_id_of(const std::string& tenant) {
   return static_cast<std::uint32_t>(common::StableHash("tenant", tenant));
 }
 
--- a/src/tenants/tenant.h
+++ b/src/tenants/tenant.h
@@ -16,10 +16,10 @@
 namespace valvekeel::tenants {
 
 /** Microseconds of a second: rates are told by the second, durations in microseconds. */
-inline constexpr double MICROSECONDS_IN_SECOND = 1e6;
+inline constexpr double MICROSECONDS_PER_SECOND = 1e6;
 
 inline double in_seconds(common::Duration duration) {
-  return static_cast<double>(duration.count()) / MICROSECONDS_IN_SECOND;
+  return static_cast<double>(duration.count()) / MICROSECONDS_PER_SECOND;
 }
 
 /** A customer whose callers share one limit and whose connections are not mixed with others'. */
@@ -45,6 +45,6 @@
 };
 
 /** @return a number that stands for a tenant in messages between daemons. */
-std::uint32_t id_of(const std::string& tenant);
+std::uint32_t tenant_id_of(const std::string& tenant);
 
 }  // namespace valvekeel::tenants
--- a/src/waiting/wait_forecast.cc
+++ b/src/waiting/wait_forecast.cc
@@ -11,7 +11,7 @@
 namespace {
 
 using tenants::in_seconds;
-using tenants::MICROSECONDS_IN_SECOND;
+using tenants::MICROSECONDS_PER_SECOND;
 
 /** @return what is left of something after a time. */
 double left_after(common::Duration elapsed) {
@@ -19,7 +19,7 @@
 }
 
 common::Duration from_seconds(double seconds) {
-  return common::Duration(static_cast<std::int64_t>(seconds * MICROSECONDS_IN_SECOND));
+  return common::Duration(static_cast<std::int64_t>(seconds * MICROSECONDS_PER_SECOND));
 }
 
 }  // namespace
--- a/src/warm_up/warm_up_rule.cc
+++ b/src/warm_up/warm_up_rule.cc
@@ -29,8 +29,8 @@
 warm_up_rule::warm_up_rule(std::string self, tolerance allowed, bool limited)
     : allowed(allowed), limited(limited), sender(std::move(self)) {}
 
-access::answer warm_up_rule::judge(const model::InstanceEntry& instance, const access::work& asked,
-                                   common::Instant now) const {
+access::decision warm_up_rule::evaluate(const model::InstanceEntry& instance,
+                                        const access::work& asked, common::Instant now) const {
   if (!this->enabled() || !this->limited) {
     return {};
   }
@@ -40,24 +40,24 @@
   }
   const common::Duration left = state->until - now;
   if (!this->sender.is_holder(instance.service, instance.id, now)) {
-    return {access::verdict::later, COLD_REASON, held_back_pause(*state, now)};
+    return {access::access_level::deferred, COLD_REASON, held_back_pause(*state, now)};
   }
   const std::size_t most = sending_limit(*this->cold.warm_up_of(instance.service), this->allowed);
   if (most == 0) {
-    return {access::verdict::later, COLD_REASON, left};
+    return {access::access_level::deferred, COLD_REASON, left};
   }
   const std::size_t requests = asked.continues_transaction ? NEXT_REQUESTS : FIRST_REQUESTS;
   const auto window = this->windows.find(instance.id);
   const common::Instant room =
       window == this->windows.end() ? now : window->second.room_at(most, requests, now);
   if (room > now) {
-    return {access::verdict::later, COLD_REASON, std::min(left, room - now)};
+    return {access::access_level::deferred, COLD_REASON, std::min(left, room - now)};
   }
-  return {access::verdict::overflow, COLD_REASON, {}};
+  return {access::access_level::overflow, COLD_REASON, {}};
 }
 
-access::leader_answer warm_up_rule::judge_leader(const model::InstanceEntry& instance,
-                                                 common::Instant now) const {
+access::leader_evaluation warm_up_rule::evaluate_leader(const model::InstanceEntry& instance,
+                                                        common::Instant now) const {
   if (!this->enabled()) {
     return {};
   }
@@ -69,8 +69,8 @@
   return {model::LeaderFitness::kPoor, COLD_REASON};
 }
 
-void warm_up_rule::note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                             common::Instant now) {
+void warm_up_rule::on_sent(const model::InstanceEntry& instance, std::size_t requests,
+                           common::Instant now) {
   if (!this->enabled() || this->cold.warm_up_of(instance.service) == nullptr) {
     return;
   }
--- a/src/warm_up/warm_up_rule.h
+++ b/src/warm_up/warm_up_rule.h
@@ -57,12 +57,12 @@
  public:
   warm_up_rule(std::string self, tolerance allowed, bool limited = true);
 
-  access::answer judge(const model::InstanceEntry& instance, const access::work& asked,
-                       common::Instant now) const override;
-  access::leader_answer judge_leader(const model::InstanceEntry& instance,
-                                     common::Instant now) const override;
-  void note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                 common::Instant now) override;
+  access::decision evaluate(const model::InstanceEntry& instance, const access::work& asked,
+                            common::Instant now) const override;
+  access::leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
+                                            common::Instant now) const override;
+  void on_sent(const model::InstanceEntry& instance, std::size_t requests,
+               common::Instant now) override;
 
   void may_have_restarted(const model::InstanceEntry& instance, common::Instant now) override;
   void same_life(const model::InstanceEntry& instance) override;
--- a/tests/access/rule_set_test.cc
+++ b/tests/access/rule_set_test.cc
@@ -12,24 +12,24 @@
 /** Gives the answers that a test sets. */
 class fixed_rule : public rule {
  public:
-  answer judge(const model::InstanceEntry& /*instance*/, const work& /*asked*/,
-               common::Instant /*now*/) const override {
-    return this->given;
+  decision evaluate(const model::InstanceEntry& /*instance*/, const work& /*requested*/,
+                    common::Instant /*now*/) const override {
+    return this->fixed_decision;
   }
 
-  leader_answer judge_leader(const model::InstanceEntry& /*instance*/,
-                             common::Instant /*now*/) const override {
-    return this->leader;
+  leader_evaluation evaluate_leader(const model::InstanceEntry& /*instance*/,
+                                    common::Instant /*now*/) const override {
+    return this->fixed_leader;
   }
 
-  void note_sent(const model::InstanceEntry& /*instance*/, std::size_t requests,
-                 common::Instant /*now*/) override {
-    this->sent += requests;
+  void on_sent(const model::InstanceEntry& /*instance*/, std::size_t requests,
+               common::Instant /*now*/) override {
+    this->sent_requests += requests;
   }
 
-  answer given;
-  leader_answer leader;
-  std::size_t sent = 0;
+  decision fixed_decision;
+  leader_evaluation fixed_leader;
+  std::size_t sent_requests = 0;
 };
 
 }  // namespace
@@ -37,8 +37,8 @@
 TEST_CASE("Without rules an instance is open and fit", "[access]") {
   const rule_set rules;
   const model::Route route;
-  CHECK(rules.judge({}, {route, ""}, NOW).outcome == verdict::open);
-  CHECK(rules.judge_leader({}, NOW).fitness == model::LeaderFitness::kFit);
+  CHECK(rules.evaluate({}, {route, ""}, NOW).level == access_level::open);
+  CHECK(rules.evaluate_leader({}, NOW).fitness == model::LeaderFitness::kFit);
 }
 
 TEST_CASE("The strictest rule decides", "[access]") {
@@ -48,14 +48,14 @@
   rules.add(mild);
   rules.add(strict);
   const model::Route route;
-  mild.given = {verdict::later, "mild", common::Duration(300)};
-  strict.given = {verdict::closed, "strict", common::Duration(100)};
-  CHECK(rules.judge({}, {route, ""}, NOW).reason == std::string("strict"));
-  mild.given.outcome = verdict::closed;
-  CHECK(rules.judge({}, {route, ""}, NOW).come_back == common::Duration(300));
-  mild.leader = {model::LeaderFitness::kPoor, "mild"};
-  strict.leader = {model::LeaderFitness::kUnfit, "strict"};
-  CHECK(rules.judge_leader({}, NOW).reason == std::string("strict"));
+  mild.fixed_decision = {access_level::deferred, "mild", common::Duration(300)};
+  strict.fixed_decision = {access_level::closed, "strict", common::Duration(100)};
+  CHECK(rules.evaluate({}, {route, ""}, NOW).reason == std::string("strict"));
+  mild.fixed_decision.level = access_level::closed;
+  CHECK(rules.evaluate({}, {route, ""}, NOW).retry_after == common::Duration(300));
+  mild.fixed_leader = {model::LeaderFitness::kPoor, "mild"};
+  strict.fixed_leader = {model::LeaderFitness::kUnfit, "strict"};
+  CHECK(rules.evaluate_leader({}, NOW).reason == std::string("strict"));
 }
 
 TEST_CASE("Every rule hears of what is sent", "[access]") {
@@ -64,9 +64,9 @@
   rule_set rules;
   rules.add(first);
   rules.add(second);
-  rules.note_sent({}, 3, NOW);
-  CHECK(first.sent == 3);
-  CHECK(second.sent == 3);
+  rules.on_sent({}, 3, NOW);
+  CHECK(first.sent_requests == 3);
+  CHECK(second.sent_requests == 3);
 }
 
 }  // namespace valvekeel::access
--- a/tests/platform/catalog_translation_test.cc
+++ b/tests/platform/catalog_translation_test.cc
@@ -112,8 +112,8 @@
   proxy::PeerMessage message;
   message.proven_version = 9;
   message.proof_age = std::chrono::milliseconds(420);
-  message.rates.counts = true;
-  message.rates.allocates = true;
+  message.rates.receiver_is_coordinator = true;
+  message.rates.sender_is_allocator = true;
   message.rates.usage = {{7, 30, 41}};
   message.rates.grants = {{7, 1.25, 0.5, 1}};
   const auto read = proxy::DecodePeerMessage(proxy::EncodePeerMessage(message));
@@ -121,8 +121,8 @@
   const proxy::PeerMessage& heard = common::ValueOf(read);
   CHECK(heard.proven_version == 9);
   CHECK(heard.proof_age == message.proof_age);
-  CHECK(heard.rates.counts);
-  CHECK(heard.rates.allocates);
+  CHECK(heard.rates.receiver_is_coordinator);
+  CHECK(heard.rates.sender_is_allocator);
   CHECK(heard.rates.usage == message.rates.usage);
   CHECK(heard.rates.grants == message.rates.grants);
 }
--- a/tests/proxy/configuration_prover_test.cc
+++ b/tests/proxy/configuration_prover_test.cc
@@ -23,13 +23,13 @@
   /// Makes a read and answers it. @return true if it yields a newer proof.
   bool Proves(Instant at) {
     prover.Tick({true, true, true}, at);
-    const auto before = admission.proof().newest();
+    const auto before = admission.proof().newest_proof();
     for (const Action& action : outbox.Take()) {
       if (const auto* read = std::get_if<ReadConfiguration>(&action)) {
         prover.OnReadAnswered(read->call, 3, catalog);
       }
     }
-    const auto after = admission.proof().newest();
+    const auto after = admission.proof().newest_proof();
     return after && (!before || before->read_at < after->read_at);
   }
 
@@ -66,9 +66,11 @@
   ProverFixture fixture;
   fixture.catalog.ApplyEra(4, "store", kStart);
   REQUIRE(fixture.Proves(kStart));
-  CHECK(fixture.admission.proof().newest()->read_at == kStart - metadata::kRewriteGracePeriod);
+  CHECK(fixture.admission.proof().newest_proof()->read_at ==
+        kStart - metadata::kRewriteGracePeriod);
   REQUIRE(fixture.Proves(kStart + metadata::kRewriteGracePeriod));
-  CHECK(fixture.admission.proof().newest()->read_at == kStart + metadata::kRewriteGracePeriod);
+  CHECK(fixture.admission.proof().newest_proof()->read_at ==
+        kStart + metadata::kRewriteGracePeriod);
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/dispatcher_access_test.cc
+++ b/tests/proxy/dispatcher_access_test.cc
@@ -21,8 +21,8 @@
 /// Gives each instance the verdict that the test sets.
 class FakeRule : public access::rule {
  public:
-  access::answer judge(const model::InstanceEntry& instance, const access::work& /*asked*/,
-                       common::Instant /*now*/) const override {
+  access::decision evaluate(const model::InstanceEntry& instance, const access::work& /*asked*/,
+                            common::Instant /*now*/) const override {
     const auto found = this->verdicts.find(instance.id);
     if (found == this->verdicts.end()) {
       return {};
@@ -30,19 +30,19 @@
     return {found->second, kReason, this->retry_after};
   }
 
-  access::leader_answer judge_leader(const model::InstanceEntry& instance,
-                                     common::Instant /*now*/) const override {
+  access::leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
+                                            common::Instant /*now*/) const override {
     return {this->unfit_to_lead.contains(instance.id) ? model::LeaderFitness::kUnfit
                                                       : model::LeaderFitness::kFit,
             kReason};
   }
 
-  void note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                 common::Instant /*now*/) override {
+  void on_sent(const model::InstanceEntry& instance, std::size_t requests,
+               common::Instant /*now*/) override {
     this->sent_requests[instance.id] += requests;
   }
 
-  std::map<std::string, access::verdict> verdicts;
+  std::map<std::string, access::access_level> verdicts;
   std::set<std::string> unfit_to_lead;
   std::map<std::string, std::size_t> sent_requests;
   common::Duration retry_after{400'000};
@@ -130,7 +130,7 @@
 
 TEST_CASE("A read runs at an instance that the access rules allow", "[proxy][access]") {
   AccessFixture fixture;
-  fixture.rule.verdicts["r"] = access::verdict::closed;
+  fixture.rule.verdicts["r"] = access::access_level::closed;
   fixture.SendCommand(model::CommandKind::kRead);
   CHECK(fixture.ConnectionOfOnlyRequest() == fixture.connections["p"]);
   CHECK(fixture.rule.sent_requests["p"] == 1);
@@ -138,15 +138,15 @@
 
 TEST_CASE("An overflow instance is placed after the open instances", "[proxy][access]") {
   AccessFixture fixture;
-  fixture.rule.verdicts["r"] = access::verdict::overflow;
+  fixture.rule.verdicts["r"] = access::access_level::overflow;
   fixture.SendCommand(model::CommandKind::kRead);
   CHECK(fixture.ConnectionOfOnlyRequest() == fixture.connections["p"]);
 }
 
 TEST_CASE("An instance of last resort is used if there is no other", "[proxy][access]") {
   AccessFixture fixture;
-  fixture.rule.verdicts["p"] = access::verdict::closed;
-  fixture.rule.verdicts["r"] = access::verdict::last_resort;
+  fixture.rule.verdicts["p"] = access::access_level::closed;
+  fixture.rule.verdicts["r"] = access::access_level::last_resort;
   fixture.SendCommand(model::CommandKind::kRead);
   CHECK(fixture.ConnectionOfOnlyRequest() == fixture.connections["r"]);
 }
@@ -154,7 +154,8 @@
 TEST_CASE("An operation that no instance may run is refused at once with a retry-after time",
           "[proxy][access]") {
   AccessFixture fixture;
-  fixture.rule.verdicts = {{"p", access::verdict::closed}, {"r", access::verdict::closed}};
+  fixture.rule.verdicts = {{"p", access::access_level::closed},
+                           {"r", access::access_level::closed}};
   fixture.SendCommand(model::CommandKind::kRead);
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const auto answers = fixture.ConsumeActions<AnswerCaller>();
@@ -167,7 +168,8 @@
 TEST_CASE("An operation is refused at once if the rules allow it only after its queue deadline",
           "[proxy][access]") {
   AccessFixture fixture;
-  fixture.rule.verdicts = {{"p", access::verdict::later}, {"r", access::verdict::closed}};
+  fixture.rule.verdicts = {{"p", access::access_level::deferred},
+                           {"r", access::access_level::closed}};
   fixture.rule.retry_after = std::chrono::milliseconds(20);
   fixture.SendCommand(model::CommandKind::kRead);
   fixture.dispatcher.Tick(kStart + kMillisecond);
@@ -179,7 +181,7 @@
 
 TEST_CASE("A write waits for a primary that is to be replaced", "[proxy][access]") {
   AccessFixture fixture;
-  fixture.rule.verdicts["p"] = access::verdict::closed;
+  fixture.rule.verdicts["p"] = access::access_level::closed;
   fixture.rule.unfit_to_lead = {"p"};
   fixture.SendCommand(model::CommandKind::kWrite);
   fixture.dispatcher.Tick(kStart + kMillisecond);
@@ -190,7 +192,7 @@
 TEST_CASE("A write is refused at once if its primary is closed for it and stays the primary",
           "[proxy][access]") {
   AccessFixture fixture;
-  fixture.rule.verdicts["p"] = access::verdict::closed;
+  fixture.rule.verdicts["p"] = access::access_level::closed;
   fixture.SendCommand(model::CommandKind::kWrite);
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const auto answers = fixture.ConsumeActions<AnswerCaller>();
@@ -213,7 +215,7 @@
   fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
   fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.outbox.Take();
-  fixture.rule.verdicts["p"] = access::verdict::closed;
+  fixture.rule.verdicts["p"] = access::access_level::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const auto sent = fixture.ConsumeActions<SendRequests>();
   REQUIRE(sent.size() == 1);
@@ -242,7 +244,7 @@
   failure.state = model::TransactionState::kFailed;
   fixture.backends.OnAnswered(connection, failure, kStart);
   fixture.outbox.Take();
-  fixture.rule.verdicts["p"] = access::verdict::closed;
+  fixture.rule.verdicts["p"] = access::access_level::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   CHECK(fixture.ConnectionOfOnlyRequest() == connection);  // ROLLBACK
   fixture.SendCommand(model::CommandKind::kRollback, kStart + 2 * kMillisecond);
@@ -263,7 +265,7 @@
   fixture.backends.OnAnswered(connection, reply, kStart);  // READ
   fixture.SendCommand(model::CommandKind::kRead);
   fixture.outbox.Take();
-  fixture.rule.verdicts["p"] = access::verdict::closed;
+  fixture.rule.verdicts["p"] = access::access_level::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   const common::Instant late = kStart + 700 * kMillisecond;
   fixture.backends.OnAnswered(connection, reply, late);
@@ -294,7 +296,7 @@
   reply.state = model::TransactionState::kOpen;
   fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN; the READ goes out
   fixture.outbox.Take();
-  fixture.rule.verdicts[instance] = access::verdict::closed;
+  fixture.rule.verdicts[instance] = access::access_level::closed;
   fixture.dispatcher.Tick(kStart + kMillisecond);
   model::Reply refusal;
   refusal.error = model::ErrorCode::kBusy;
@@ -317,7 +319,7 @@
   REQUIRE(prepared.size() == 1);
   const ConnectionNumber first = prepared.front().connection;
   const bool at_primary = first == fixture.connections["p"];
-  fixture.rule.verdicts[at_primary ? "p" : "r"] = access::verdict::closed;
+  fixture.rule.verdicts[at_primary ? "p" : "r"] = access::access_level::closed;
   model::Reply reply;
   reply.succeeded = true;
   for (std::size_t answer = 0; answer < prepared.front().requests.size(); ++answer) {
@@ -405,7 +407,7 @@
   reply.state = model::TransactionState::kOpen;
   fixture.backends.OnAnswered(connection, reply, kStart);  // BEGIN
   fixture.backends.OnAnswered(connection, reply, kStart);  // READ
-  fixture.rule.verdicts["p"] = access::verdict::later;
+  fixture.rule.verdicts["p"] = access::access_level::deferred;
   fixture.rule.retry_after = kMillisecond;
   fixture.SendCommand(model::CommandKind::kCommit);
   fixture.outbox.Take();
--- a/tests/proxy/dispatcher_tenants_test.cc
+++ b/tests/proxy/dispatcher_tenants_test.cc
@@ -68,7 +68,7 @@
     groups.Get("ledger", kStart).lease.Renew({1, "i-1", kStart});
     configuration = BothTenants(1);
     Configure(kStart);
-    admission.proof().note({1, kStart});
+    admission.proof().record_proof({1, kStart});
     outbox.Take();
   }
 
@@ -245,7 +245,7 @@
   REQUIRE(answers.size() == 1);
   CHECK(answers.front().reply.error == model::ErrorCode::kBusy);
   CHECK(answers.front().reply.error_text.find("retry_after_ms=") == 0);
-  fixture.admission.proof().note({1, kStart + kRevocationLimit});
+  fixture.admission.proof().record_proof({1, kStart + kRevocationLimit});
   fixture.SendCommand(kNorthSession, model::CommandKind::kRead, kStart + kRevocationLimit);
   CHECK(fixture.ConsumeActions<OpenConnection>().size() == 1);
 }
--- a/tests/regions/region_policy_test.cc
+++ b/tests/regions/region_policy_test.cc
@@ -82,13 +82,13 @@
   CHECK_FALSE(policy.allows("orders", "baker", "s1"));
   CHECK_FALSE(policy.allows_anywhere("orders", "baker"));
   CHECK(policy.allows_anywhere("orders", ""));
-  CHECK_FALSE(allowed_regions({"north"}).both(allowed_regions({"south"})).everywhere());
+  CHECK_FALSE(allowed_regions({"north"}).intersect(allowed_regions({"south"})).everywhere());
 }
 
 TEST_CASE("A zone without a known region is outside of all regions", "[regions]") {
   const region_policy policy = policy_of(configuration({"north"}, {}));
   CHECK_FALSE(policy.allows("orders", "", "elsewhere"));
-  CHECK_FALSE(policy.suits_leader("ledger", "elsewhere"));
+  CHECK_FALSE(policy.allows_leader("ledger", "elsewhere"));
 }
 
 TEST_CASE("A public route's callers have no tenant whose regions could bind", "[regions]") {
@@ -113,9 +113,9 @@
   second.database = "stock";
   second.allowed_regions = {"south"};
   given.routes["stock"] = second;
-  CHECK(policy_of(given).suits_leader("ledger", "s1"));
-  CHECK_FALSE(policy_of(given).suits_leader("ledger", "n1"));
-  CHECK(policy_of(given).suits_leader("another", "n1"));
+  CHECK(policy_of(given).allows_leader("ledger", "s1"));
+  CHECK_FALSE(policy_of(given).allows_leader("ledger", "n1"));
+  CHECK(policy_of(given).allows_leader("another", "n1"));
 }
 
 TEST_CASE("Without a region common to its routes no leader is better than another", "[regions]") {
@@ -124,9 +124,9 @@
   second.database = "stock";
   second.allowed_regions = {"south"};
   given.routes["stock"] = second;
-  CHECK(policy_of(given).suits_leader("ledger", "s1"));
-  CHECK(policy_of(given).suits_leader("ledger", "n1"));
-  CHECK(policy_of(configuration({"abroad"}, {})).suits_leader("ledger", "n1"));
+  CHECK(policy_of(given).allows_leader("ledger", "s1"));
+  CHECK(policy_of(given).allows_leader("ledger", "n1"));
+  CHECK(policy_of(configuration({"abroad"}, {})).allows_leader("ledger", "n1"));
 }
 
 TEST_CASE("An instance outside is closed, with a time to come back", "[regions]") {
@@ -134,23 +134,24 @@
   const region_rule rule(policy);
   model::Route route;
   route.database = "orders";
-  const access::answer outside = rule.judge(instance_in("s1"), {route, "baker", false}, NOW);
-  CHECK(outside.outcome == access::verdict::closed);
+  const access::decision outside = rule.evaluate(instance_in("s1"), {route, "baker", false}, NOW);
+  CHECK(outside.level == access::access_level::closed);
   CHECK(outside.reason == OUTSIDE_REGIONS);
-  CHECK(outside.come_back > common::Duration(0));
-  CHECK(rule.judge(instance_in("n1"), {route, "baker", false}, NOW).outcome ==
-        access::verdict::open);
-  CHECK(rule.judge_leader(instance_in("s1"), NOW).fitness == model::LeaderFitness::kUnfit);
-  CHECK(rule.judge_leader(instance_in("n1"), NOW).fitness == model::LeaderFitness::kFit);
+  CHECK(outside.retry_after > common::Duration(0));
+  CHECK(rule.evaluate(instance_in("n1"), {route, "baker", false}, NOW).level ==
+        access::access_level::open);
+  CHECK(rule.evaluate_leader(instance_in("s1"), NOW).fitness == model::LeaderFitness::kUnfit);
+  CHECK(rule.evaluate_leader(instance_in("n1"), NOW).fitness == model::LeaderFitness::kFit);
 }
 
 TEST_CASE("The newest configuration decides, not the route that a transaction began with",
           "[regions]") {
   region_policy policy = policy_of(configuration({"north"}, {}));
   const region_rule rule(policy);
-  const model::Route held = configuration({"north"}, {}).routes.at("orders");
+  const model::Route old_route = configuration({"north"}, {}).routes.at("orders");
   policy.set_configuration(configuration({"south"}, {}));
-  CHECK(rule.judge(instance_in("n1"), {held, "", true}, NOW).outcome == access::verdict::closed);
+  CHECK(rule.evaluate(instance_in("n1"), {old_route, "", true}, NOW).level ==
+        access::access_level::closed);
 }
 
 }  // namespace valvekeel::regions
--- a/tests/tenants/key_digest_test.cc
+++ b/tests/tenants/key_digest_test.cc
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("A key passes to another tenant and is taken away", "[tenants]") {
-  directory keys;
+  key_directory keys;
   keys.set({{"north", make_tenant("north", "k1")}, {"south", make_tenant("south", "k2")}});
   REQUIRE(keys.find(digest_of("k1")) != nullptr);
   CHECK(*keys.find(digest_of("k1")) == "north");
@@ -55,49 +55,53 @@
 
 TEST_CASE("A proof holds for less than the limit from the read that it stands for", "[tenants]") {
   freshness proofs(LIMIT);
-  CHECK_FALSE(proofs.holds(3, START));
-  proofs.note({3, START});
-  CHECK(proofs.holds(3, START + LIMIT / 2));
-  CHECK_FALSE(proofs.holds(3, START + LIMIT));
-  proofs.note({3, START - LIMIT / 2});
-  CHECK(proofs.holds(3, START + LIMIT - LIMIT / 10));
+  CHECK_FALSE(proofs.is_fresh(3, START));
+  proofs.record_proof({3, START});
+  CHECK(proofs.is_fresh(3, START + LIMIT / 2));
+  CHECK_FALSE(proofs.is_fresh(3, START + LIMIT));
+  proofs.record_proof({3, START - LIMIT / 2});
+  CHECK(proofs.is_fresh(3, START + LIMIT - LIMIT / 10));
 }
 
 TEST_CASE("A proof of a later version proves nothing of an earlier one", "[tenants]") {
   freshness proofs(LIMIT);
-  proofs.note({3, START});
-  proofs.note({5, START + LIMIT / 2});
+  proofs.record_proof({3, START});
+  proofs.record_proof({5, START + LIMIT / 2});
   CHECK(proofs.proven_at(3) == START);
-  CHECK_FALSE(proofs.holds(3, START + LIMIT));
-  CHECK(proofs.holds(5, START + LIMIT));
-  CHECK(proofs.holds(6, START + LIMIT));
+  CHECK_FALSE(proofs.is_fresh(3, START + LIMIT));
+  CHECK(proofs.is_fresh(5, START + LIMIT));
+  CHECK(proofs.is_fresh(6, START + LIMIT));
   CHECK_FALSE(proofs.proven_at(2).has_value());
 }
 
 TEST_CASE("Without a limit no proof is needed", "[tenants]") {
   const freshness proofs{Duration(0)};
-  CHECK(proofs.holds(1, START));
+  CHECK(proofs.is_fresh(1, START));
 }
 
 TEST_CASE("An unknown key is told apart from keys that cannot be checked", "[tenants]") {
   const tenant_policy policy = strict_policy();
-  admission callers(policy);
-  callers.set_configuration(2, {{"north", make_tenant("north", "k1")}});
-  CHECK(callers.identify(false, digest_of("k1"), START).outcome == verdict::unproven);
-  CHECK(callers.identify(true, digest_of("k1"), START).outcome == verdict::admitted);
-  callers.proof().note({2, START});
-  const admission_result known = callers.identify(false, digest_of("k1"), START);
-  CHECK(known.outcome == verdict::admitted);
+  admission tenant_admission(policy);
+  tenant_admission.set_configuration(2, {{"north", make_tenant("north", "k1")}});
+  CHECK(tenant_admission.identify(false, digest_of("k1"), START).outcome ==
+        admission_outcome::unproven);
+  CHECK(tenant_admission.identify(true, digest_of("k1"), START).outcome ==
+        admission_outcome::admitted);
+  tenant_admission.proof().record_proof({2, START});
+  const admission_result known = tenant_admission.identify(false, digest_of("k1"), START);
+  CHECK(known.outcome == admission_outcome::admitted);
   CHECK(known.tenant == "north");
-  CHECK(callers.identify(false, digest_of("k2"), START).outcome == verdict::unknown_key);
-  CHECK(callers.identify(false, digest_of("k1"), START + LIMIT).outcome == verdict::unproven);
+  CHECK(tenant_admission.identify(false, digest_of("k2"), START).outcome ==
+        admission_outcome::unknown_key);
+  CHECK(tenant_admission.identify(false, digest_of("k1"), START + LIMIT).outcome ==
+        admission_outcome::unproven);
 }
 
 TEST_CASE("Where keys are not used every caller is admitted", "[tenants]") {
   const tenant_policy policy;
-  admission callers(policy);
-  const admission_result result = callers.admit(false, digest_of("whoever"), START);
-  CHECK(result.outcome == verdict::admitted);
+  admission tenant_admission(policy);
+  const admission_result result = tenant_admission.admit(false, digest_of("whoever"), START);
+  CHECK(result.outcome == admission_outcome::admitted);
   CHECK(result.tenant.empty());
 }
 
--- a/tests/warm_up/warm_up_rule_test.cc
+++ b/tests/warm_up/warm_up_rule_test.cc
@@ -50,16 +50,17 @@
     this->rule.instances().note_entry(entry, at);
   }
 
-  access::answer judge(const std::string& id, common::Instant at = START, bool continues = false) {
+  access::decision judge(const std::string& id, common::Instant at = START,
+                         bool continues = false) {
     const model::Route route;
-    return this->rule.judge(instance(id), {route, "", continues}, at);
+    return this->rule.evaluate(instance(id), {route, "", continues}, at);
   }
 
   /** Sends as much as the rule lets through, one statement at a time. */
   std::size_t send_all(common::Instant at) {
     std::size_t sent = 0;
-    while (sent < 2 * TOLERATED && this->judge("a", at).outcome == access::verdict::overflow) {
-      this->rule.note_sent(instance("a"), 1, at);
+    while (sent < 2 * TOLERATED && this->judge("a", at).level == access::access_level::overflow) {
+      this->rule.on_sent(instance("a"), 1, at);
       ++sent;
     }
     return sent;
@@ -79,7 +80,7 @@
 
 TEST_CASE("A warm instance is open", "[warm_up]") {
   rule_fixture fixture;
-  CHECK(fixture.judge("a").outcome == access::verdict::open);
+  CHECK(fixture.judge("a").level == access::access_level::open);
 }
 
 TEST_CASE("A cold instance gets what others have no room for, up to the rate", "[warm_up]") {
@@ -88,9 +89,9 @@
   const std::size_t sent = fixture.send_all(START);
   CHECK(sent > 0);
   CHECK(sent <= sending_limit({6 * SECOND, RATE}, ALLOWED));
-  const access::answer full = fixture.judge("a");
-  CHECK(full.outcome == access::verdict::later);
-  CHECK(full.come_back == SEND_WINDOW);
+  const access::decision full = fixture.judge("a");
+  CHECK(full.level == access::access_level::deferred);
+  CHECK(full.retry_after == SEND_WINDOW);
   fixture.update(START + 300 * MILLISECOND);
   CHECK(fixture.send_all(START + 300 * MILLISECOND) == 0);
 }
@@ -116,27 +117,27 @@
 TEST_CASE("A statement of an open transaction counts, and needs less room", "[warm_up]") {
   rule_fixture fixture;
   fixture.tell_cold("a", 6 * SECOND);
-  fixture.rule.note_sent(instance("a"), 7, START);
-  CHECK(fixture.judge("a", START).outcome == access::verdict::later);
-  CHECK(fixture.judge("a", START, true).outcome == access::verdict::overflow);
-  fixture.rule.note_sent(instance("a"), 1, START);
-  CHECK(fixture.judge("a", START, true).outcome == access::verdict::later);
+  fixture.rule.on_sent(instance("a"), 7, START);
+  CHECK(fixture.judge("a", START).level == access::access_level::deferred);
+  CHECK(fixture.judge("a", START, true).level == access::access_level::overflow);
+  fixture.rule.on_sent(instance("a"), 1, START);
+  CHECK(fixture.judge("a", START, true).level == access::access_level::deferred);
 }
 
 TEST_CASE("What was sent before the instance was known to be cold counts", "[warm_up]") {
   rule_fixture fixture;
-  fixture.rule.note_sent(instance("a"), TOLERATED, START);
+  fixture.rule.on_sent(instance("a"), TOLERATED, START);
   fixture.tell_cold("a", 6 * SECOND);
-  CHECK(fixture.judge("a").outcome == access::verdict::later);
+  CHECK(fixture.judge("a").level == access::access_level::deferred);
 }
 
 TEST_CASE("A daemon that is not the first sends nothing to a cold instance", "[warm_up]") {
   rule_fixture fixture(false);
   fixture.tell_cold("a", 6 * SECOND);
-  const access::answer held = fixture.judge("a");
-  CHECK(held.outcome == access::verdict::later);
-  CHECK(held.come_back == HELD_BACK_PAUSE);
-  CHECK(fixture.judge("a", START + 6 * SECOND - 10 * MILLISECOND).come_back == 10 * MILLISECOND);
+  const access::decision held = fixture.judge("a");
+  CHECK(held.level == access::access_level::deferred);
+  CHECK(held.retry_after == HELD_BACK_PAUSE);
+  CHECK(fixture.judge("a", START + 6 * SECOND - 10 * MILLISECOND).retry_after == 10 * MILLISECOND);
 }
 
 TEST_CASE("Two daemons with different views stay within what is tolerated", "[warm_up]") {
@@ -153,7 +154,7 @@
   }
   at -= 100 * MILLISECOND;
   const std::size_t both = first.send_all(at) + second.send_all(at);
-  CHECK(second.judge("a", at).outcome == access::verdict::later);
+  CHECK(second.judge("a", at).level == access::access_level::deferred);
   CHECK(both > sending_limit({6 * SECOND, RATE}, ALLOWED));
   CHECK(both <= TOLERATED);
 }
@@ -162,24 +163,24 @@
           "[warm_up]") {
   rule_fixture fixture;
   fixture.tell_cold("a", 6 * SECOND);
-  REQUIRE(fixture.judge("a", START).outcome == access::verdict::overflow);
-  CHECK(fixture.judge("a", START + 3 * SECOND).outcome == access::verdict::later);
+  REQUIRE(fixture.judge("a", START).level == access::access_level::overflow);
+  CHECK(fixture.judge("a", START + 3 * SECOND).level == access::access_level::deferred);
 }
 
 TEST_CASE("While fresh entries are on their way, work waits a moment", "[warm_up]") {
   rule_fixture fixture(false);
   fixture.rule.first_contact(instance("a"), START);
-  CHECK(fixture.judge("a").come_back == REFRESH_PAUSE);
-  CHECK(fixture.judge("a", START + REFRESH_TIME).come_back == HELD_BACK_PAUSE);
+  CHECK(fixture.judge("a").retry_after == REFRESH_PAUSE);
+  CHECK(fixture.judge("a", START + REFRESH_TIME).retry_after == HELD_BACK_PAUSE);
 }
 
 TEST_CASE("A cold primary leads badly by its own word alone", "[warm_up]") {
   rule_fixture fixture;
-  CHECK(fixture.rule.judge_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
+  CHECK(fixture.rule.evaluate_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
   fixture.rule.may_have_restarted(instance("a"), START);
-  CHECK(fixture.rule.judge_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
+  CHECK(fixture.rule.evaluate_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
   fixture.tell_cold("a", 6 * SECOND);
-  const access::leader_answer answer = fixture.rule.judge_leader(instance("a"), START);
+  const access::leader_evaluation answer = fixture.rule.evaluate_leader(instance("a"), START);
   CHECK(answer.fitness == model::LeaderFitness::kPoor);
   CHECK(std::string(answer.reason) == COLD_REASON);
 }
@@ -188,15 +189,15 @@
   rule_fixture fixture;
   fixture.tell_cold("a", 6 * SECOND);
   const common::Instant late = START + 6 * SECOND - PROMOTION_TIME;
-  CHECK(fixture.rule.judge_leader(instance("a"), late).fitness == model::LeaderFitness::kFit);
+  CHECK(fixture.rule.evaluate_leader(instance("a"), late).fitness == model::LeaderFitness::kFit);
 }
 
 TEST_CASE("Two cold instances lead equally badly: neither replaces the other", "[warm_up]") {
   rule_fixture fixture;
   fixture.tell_cold("a", 6 * SECOND);
   fixture.tell_cold("b", 3 * SECOND);
-  CHECK(fixture.rule.judge_leader(instance("a"), START).fitness ==
-        fixture.rule.judge_leader(instance("b"), START).fitness);
+  CHECK(fixture.rule.evaluate_leader(instance("a"), START).fitness ==
+        fixture.rule.evaluate_leader(instance("b"), START).fitness);
 }
 
 TEST_CASE("Without a warm-up nothing is kept or judged", "[warm_up]") {
@@ -206,13 +207,15 @@
   rule.may_have_restarted(instance("a"), START);
   rule.first_contact(instance("a"), START);
   rule.zone_returned("near", START);
-  rule.note_sent(instance("a"), TOLERATED, START);
+  rule.on_sent(instance("a"), TOLERATED, START);
   CHECK_FALSE(rule.instances().wants_fresh());
   const model::Route route;
-  CHECK(rule.judge(instance("a"), {route, "", false}, START).outcome == access::verdict::open);
+  CHECK(rule.evaluate(instance("a"), {route, "", false}, START).level ==
+        access::access_level::open);
   // It is switched on later: nothing of before counts.
   rule.instances().set_services(services());
-  CHECK(rule.judge(instance("a"), {route, "", false}, START).outcome == access::verdict::open);
+  CHECK(rule.evaluate(instance("a"), {route, "", false}, START).level ==
+        access::access_level::open);
 }
 
 }  // namespace valvekeel::warm_up
