--- a/src/tenants/admission.cc
+++ b/src/tenants/admission.cc
@@ -3,8 +3,9 @@
 namespace valvekeel::tenants {
 namespace {
 
-/** Time to come back without proof: a daemon that has just come has it within a few calls to the
- * store, and one that is cut off from it is asked in vain. */
+/** Retry-after time of an operation that is refused because the keys are unproven. A daemon that
+ * has just started gets a proof within a few calls to the store; on one that is cut off from the
+ * store earlier retries would be refused again. */
 constexpr common::Duration UNPROVEN_RETRY_AFTER{300'000};
 
 }  // namespace
@@ -30,7 +31,7 @@
   const auto age = this->proofs.age(this->version, now);
   result.proof_age = age.value_or(common::Duration(-1));
   if (this->is_unproven(now)) {
-    // A key that is unknown here may be a new one.
+    // A key that the local configuration lacks may be a new one.
     result.outcome = admission_outcome::unproven;
     result.retry_after = UNPROVEN_RETRY_AFTER;
     return result;
--- a/src/tenants/freshness.cc
+++ b/src/tenants/freshness.cc
@@ -5,10 +5,10 @@
 namespace valvekeel::tenants {
 namespace {
 
-/** Versions whose proofs are kept: a daemon may be a few behind. */
+/** Versions whose proofs are kept: a daemon's configuration may be a few versions behind. */
 constexpr std::size_t MAX_VERSIONS = 4;
 
-/** Taken off the limit, for clocks that do not run alike: a twentieth. */
+/** The limit is shortened by this part of it, a twentieth, since clocks run at different rates. */
 constexpr int MARGIN_DIVISOR = 20;
 
 }  // namespace
--- a/src/tenants/freshness.h
+++ b/src/tenants/freshness.h
@@ -1,15 +1,15 @@
 /**
- * @file Until when the configuration in force may be used to admit keys.
+ * @file Tracks how long the local configuration may be used to admit keys.
  *
- * A proof says: at an instant of this daemon's own clock, or later, no version above the named one
- * was in the store. It comes from a read of the store that is never answered from an old state,
- * made by this daemon or by another that told it; the instant is the one at which the read was
- * sent. With that version in force, or a later one, keys taken away up to that instant are known to
- * be gone. So a key that is still known serves until the revocation limit, counted from the
- * instant, is over. See docs/PROOFS.md.
+ * A proof states: at a given time of this daemon's clock, or later, the store held no version of
+ * the configuration above the given one. It comes from a read that the store never answers from a
+ * stale state, made by this daemon or reported by another one; its time is the time at which the
+ * read was sent. With that version or a later one in use, every key that was removed before that
+ * time is known to be removed. A key that is still present may therefore be admitted until the
+ * revocation limit, counted from that time, has passed. See docs/PROOFS.md.
  *
- * Owns: the proofs heard. Invariant: an instant is never later than the read that it stands for.
- * Pure. Thread: its host's.
+ * Owns: the recorded proofs. Invariant: the time of a proof is never later than the read that it
+ * stands for. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -21,32 +21,33 @@
 
 namespace valvekeel::tenants {
 
-/** The store's newest version of the configuration at an instant. */
+/** The newest version of the configuration in the store at the time of a read. */
 struct version_proof {
   std::uint64_t version = 0;
   common::Instant read_at{0};
 };
 
+/** The proofs of the last few versions, and the time for which they hold. */
 class freshness {
  public:
-  /** @param limit  time after which a proof is worth nothing; 0: no proof is needed */
+  /** @param limit  time after which a proof has expired; 0: no proof is needed */
   explicit freshness(common::Duration limit) : limit(limit) {}
 
   bool required() const { return this->limit.count() > 0; }
 
-  /** Takes a proof, of this daemon's own read or another's. */
+  /** Stores a proof from a read of this daemon or of another one. */
   void record_proof(const version_proof& proof);
 
-  /** @return the newest proof heard, whatever version is in force here. */
+  /** @return the proof of the newest version, whatever version this daemon uses. */
   std::optional<version_proof> newest_proof() const;
 
-  /** @return the newest instant at which no version above this one was in the store. */
+  /** @return the latest time at which the store is known to hold no version above this one. */
   std::optional<common::Instant> proven_at(std::uint64_t version) const;
 
-  /** @return true if keys of this version may be admitted now. */
+  /** @return true if the keys of this version may be admitted now. */
   bool is_fresh(std::uint64_t version, common::Instant now) const;
 
-  /** @return time since the newest proof that covers the version; nothing if there was none. */
+  /** @return the time since the newest proof that covers the version; nothing without a proof. */
   std::optional<common::Duration> age(std::uint64_t version, common::Instant now) const;
 
  private:
--- a/src/tenants/key_digest.cc
+++ b/src/tenants/key_digest.cc
@@ -21,7 +21,7 @@
 }
 
 std::string to_hex(const key_digest& digest) {
-  std::string digits(key_digest::SIZE * 2 + 1, '\0');  // sodium ends it with a zero byte
+  std::string digits(key_digest::SIZE * 2 + 1, '\0');  // libsodium appends a zero byte
   sodium_bin2hex(digits.data(), digits.size(), digest.bytes.data(), key_digest::SIZE);
   digits.pop_back();
   return digits;
--- a/src/tenants/key_digest.h
+++ b/src/tenants/key_digest.h
@@ -1,11 +1,11 @@
 /**
- * @file Digests that stand for callers' API keys.
+ * @file Computes the digests that stand for callers' API keys.
  *
  * A key is hashed where it is decoded, from the configuration or from a caller's first message.
- * Daemons keep, compare and exchange the digests alone, so no key is in their memory for longer
- * than that, nor in their logs, metrics, heartbeats and copies of the configuration.
+ * Daemons store, compare and exchange only the digests. So no key stays in their memory after
+ * decoding, and none is in their logs, metrics, heartbeats and copies of the configuration.
  *
- * Owns: nothing. Invariant: equal keys have equal digests on every daemon. Thread: any.
+ * Invariant: equal keys have equal digests on every daemon. No state; safe in any thread.
  */
 #pragma once
 
@@ -24,20 +24,19 @@
 
   std::array<std::uint8_t, SIZE> bytes{};
 
-  /** Compares in a time that does not depend on the contents. */
+  /** Compares in constant time, so that its duration reveals nothing about the contents. */
   bool operator==(const key_digest& other) const;
 };
 
-/** @return the digest of a key. */
 key_digest digest_of(std::string_view key);
 
-/** @return the digest as hexadecimal digits. */
+/** @return the digest as lower-case hexadecimal digits. */
 std::string to_hex(const key_digest& digest);
 
-/** @return the digest that the digits stand for, nothing if they are none. */
+/** @return the digest from its hexadecimal digits; nothing if they are not one digest. */
 std::optional<key_digest> from_hex(std::string_view digits);
 
-/** Hashes a digest for containers: it is a hash by itself. */
+/** Hash for containers: the first bytes of the digest, which are uniformly distributed. */
 struct key_digest_hash {
   std::size_t operator()(const key_digest& digest) const;
 };
--- a/src/tenants/key_directory.h
+++ b/src/tenants/key_directory.h
@@ -1,8 +1,8 @@
 /**
- * @file Which tenant a key belongs to.
+ * @file Maps API keys to the tenants that own them.
  *
  * Owns: the map from keys to tenants of one version of the configuration. Invariant: a key belongs
- * to one tenant. Pure. Thread: its host's.
+ * to one tenant. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -15,12 +15,13 @@
 
 namespace valvekeel::tenants {
 
+/** The tenants of one configuration by key. */
 class key_directory {
  public:
-  /** Takes all tenants anew. */
+  /** Replaces all tenants. */
   void set(const std::map<std::string, tenant>& tenants);
 
-  /** @return the tenant's name, nothing if the key is not in force. */
+  /** @return the tenant's name, null if no tenant has the key. Valid until the next `set`. */
   const std::string* find(const key_digest& key) const;
 
  private:
--- a/src/tenants/rate_allocator.cc
+++ b/src/tenants/rate_allocator.cc
@@ -6,28 +6,30 @@
 namespace valvekeel::tenants {
 namespace {
 
-/** Filling of a bucket below which a tenant is held back, and from which on it is let go. A tenant
- * at five times its rate empties half of a bucket of one second in an eighth of a second; the
- * counts of 0.25 s are on their way then, which the slack and the overage of the users' limit
- * contain. */
+/** Filled part of a bucket below which a tenant is throttled, and from which on it no longer is. A
+ * tenant at five times its rate empties half of a bucket of one second in an eighth of a second.
+ * The counts of another 0.25 s are in transit then; the policy's slack and the overage that the
+ * rate limit permits cover them. */
 constexpr double THROTTLE_BELOW = 0.5;
 constexpr double UNTHROTTLE_FROM = 0.9;
-/** Filling that is presumed before anything was heard: all daemons may have come back together. */
+/** Filled part of the bucket of a new tenant. It is not full, since all daemons may have restarted
+ * together, so that nothing is known of the operations before. */
 constexpr double INITIAL_FILL = 0.6;
-/** Part of the policy's slack by which a bucket is larger than the tenant's burst: tenants with few
- * operations a second have them in lumps. */
+/** Part of the policy's slack by which a bucket exceeds the tenant's burst: the operations of
+ * tenants with few operations a second arrive in groups. */
 constexpr double SLACK_FACTOR = 0.5;
-/** Time in which what a bucket holds is given out, and what it lacks is made up for. */
+/** Time over which the tokens in a bucket are granted, and over which a deficit is made up. */
 constexpr double REDISTRIBUTION_SECONDS = 1;
-/** Longest time that a daemon's counts are taken to stand for: what is older was paid for by what
- * flowed into the bucket meanwhile. */
+/** Longest interval before a report whose operations are taken out of the bucket. Operations before
+ * it are covered by the tokens that the bucket received in the meantime. */
 constexpr common::Duration MAX_COUNTED_INTERVAL{1'000'000};
 /** Time over which a daemon's demand is averaged. */
 constexpr double DEMAND_SECONDS = 1;
-/** Demand that every daemon is taken to have at least, operations a second: one that has none now
- * may get a session the next moment. */
+/** Minimum demand assumed for each daemon, operations a second: a daemon without demand may get a
+ * session at any time. */
 constexpr double MIN_DEMAND = 0.1;
-/** Change of a grant, in rates, of which all hear at once; and the time between two such. */
+/** Change of a grant, relative to the tenant's rate, of which all daemons are notified at once, and
+ * the minimum time between two such notifications. */
 constexpr double SIGNIFICANT_CHANGE = 0.3;
 constexpr common::Duration NOTIFY_INTERVAL{100'000};
 
@@ -77,7 +79,8 @@
     tenant_state& entry = found->second;
     daemon_usage& usage = entry.usage_by_daemon[daemon];
     const bool same_incarnation = usage.incarnation == incarnation;
-    // The first count of a life that began unheard says nothing of when it was made.
+    // Without an earlier report of this daemon it is unknown when the operations of its first count
+    // ran, so they are not counted.
     const usage_count previous =
         same_incarnation ? usage.last_counts : (starts_from_zero ? usage_count{} : each);
     usage.incarnation = incarnation;
--- a/src/tenants/rate_allocator.h
+++ b/src/tenants/rate_allocator.h
@@ -1,14 +1,15 @@
 /**
- * @file How much of each tenant's rate each daemon may use, worked out by one daemon for all.
+ * @file Computes how much of each tenant's rate limit each daemon may use.
  *
- * The coordinator that acts for all keeps a token bucket for each tenant, and takes out of it what
- * the daemons tell that they let through. A tenant whose bucket is well filled is left alone. One
- * whose bucket runs low is held back: what flows into the bucket, and what is left in it, is shared
- * among the daemons by what their callers ask for. The other coordinators hear the counts as well,
- * so that one of them knows the past when it takes over.
+ * One coordinator allocates for all daemons. It keeps a token bucket for each tenant and takes out
+ * of it the operations that the daemons report as admitted. A tenant whose bucket is well filled is
+ * not throttled. One whose bucket runs low is throttled: the rate at which the bucket is refilled,
+ * and the tokens left in it, are divided among the daemons in proportion to the demand of their
+ * callers. The other coordinators record the same counts, so that each of them can take over
+ * without a gap.
  *
  * Owns: the buckets by tenant and the demand by daemon. Invariant: the grants of a tenant add up to
- * its rate and what its bucket holds, no more. Pure. Thread: its host's.
+ * at most its rate and the tokens in its bucket. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -24,54 +25,58 @@
 
 namespace valvekeel::tenants {
 
+/** The token buckets of all tenants, filled from the counts of all daemons. */
 class rate_allocator {
  public:
   explicit rate_allocator(const tenant_policy& policy) : policy(policy) {}
 
-  /** Takes the tenants of a new configuration. */
+  /** Applies the tenants of a new configuration; buckets of known tenants keep their tokens. */
   void set_tenants(const std::map<std::string, tenant>& tenants, common::Instant now);
 
   /**
-   * Takes a daemon's counts.
+   * Records a daemon's usage counts. Counts lower than the last ones of the same incarnation come
+   * from an older message and are ignored.
    *
-   * @param incarnation  of the daemon: another life counts from zero
+   * @param incarnation  of the daemon; a new one counts from zero
    */
   void record_usage(const std::string& daemon, std::uint64_t incarnation,
                     const std::vector<usage_count>& counts, common::Instant now);
 
-  /** Moves on in time. @return true if the grants of some tenant changed by much: all daemons
-   * should hear of it now. */
+  /**
+   * Refills the buckets and updates which tenants are throttled.
+   *
+   * @return true if a tenant's grants changed so much that all daemons should get them at once
+   */
   bool tick(common::Instant now);
 
-  /** @return what a daemon may let through of the tenants that are held back. */
+  /** @return the grants of a daemon for the tenants that are throttled. */
   std::vector<rate_grant> grants_for(const std::string& daemon) const;
 
-  /** @return operations that the tenant's bucket holds; below zero, what was let through too much.
-   */
+  /** @return operations left in the tenant's bucket; negative if too many were admitted. */
   double remaining_tokens(const std::string& tenant) const;
 
  private:
-  /** The life of a daemon whose counts come. */
+  /** The latest report of a daemon. */
   struct daemon_state {
     std::uint64_t incarnation = 0;
     common::Instant last_report_at{0};
-    bool counts_from_zero = false;  // an earlier life was heard: this one counts from zero
+    bool counts_from_zero = false;  // an earlier incarnation reported before
   };
-  /** One daemon's part in a tenant. */
+  /** One daemon's usage of a tenant's rate. */
   struct daemon_usage {
     usage_count last_counts;
-    double demand = 0;  // operations a second, lately
+    double demand = 0;  // operations a second, decaying since demand_at
     common::Instant demand_at{0};
     std::uint64_t incarnation = 0;
   };
   struct tenant_state {
     double rate = 0;
-    double capacity = 0;  // of the bucket
+    double capacity = 0;  // of the bucket, operations
     double tokens = 0;
     std::unordered_map<std::string, daemon_usage> usage_by_daemon;
     bool is_throttled = false;
-    double granted_rate = 0;         // operations a second, to all daemons
-    common::Instant notified_at{0};  // when all were to hear of it at once
+    double granted_rate = 0;         // operations a second, sum over all daemons
+    common::Instant notified_at{0};  // when the grants last changed for all daemons
   };
 
   static double current_demand(const daemon_usage& usage, common::Instant now);
--- a/src/tenants/rate_limiter.cc
+++ b/src/tenants/rate_limiter.cc
@@ -8,36 +8,37 @@
 
 using common::Duration;
 
-/** Silence of the allocator after which a daemon goes by itself: nearly three of its
- * heartbeats. */
+/** Time without grants after which a daemon treats the allocator as unresponsive and limits rates
+ * by itself: nearly three of the allocator's heartbeats. */
 constexpr common::Duration ALLOCATOR_TIMEOUT{700'000};
 
-/** Time over which a tenant's usual rate is averaged: near the users' window of 5 s, so that what a
- * daemon lets through by itself follows what the window has seen. */
+/** Time over which a tenant's recent rate is averaged. It is near the 5 s window over which a rate
+ * limit is checked, so that the fallback rate follows the operations in that window. */
 constexpr double RECENT_RATE_SECONDS = 3;
 
-/** Without an allocator a daemon lets through this much of the usual rate. A tenant within its
- * limit uses at most four fifths of what the limit and its burst allow, so the sum stays within
- * both. */
+/** Without an allocator a daemon admits this multiple of the recent rate. A tenant within its limit
+ * uses at most four fifths of what the limit and its burst allow, so the sum over all daemons stays
+ * within both. */
 constexpr double FALLBACK_FACTOR = 1.25;
 
-/** Operations that may come at once at a daemon that holds a tenant back: at least, and in seconds
- * of its grant. */
+/** Burst of a throttled tenant at one daemon: the minimum in operations, and the time for which the
+ * grant may be used at once. */
 constexpr double MIN_GRANTED_BURST = 3;
 constexpr double GRANTED_BURST_SECONDS = 0.5;
 
-/** Operations that may come at once without an allocator, at least: sessions come in lumps. */
+/** Minimum burst without an allocator, in operations: sessions arrive in groups. */
 constexpr double MIN_FALLBACK_BURST = 3;
 
-/** Operations that a tenant may begin with at a daemon that has just come. */
+/** Operations that a tenant may start with at a daemon that has just started. */
 constexpr double INITIAL_TOKENS = 1;
 
-/** A slice of time, and how many operations in one, beyond the usual, are a surge. */
+/** More operations in one time slice than MIN_SURGE, and than SURGE_FACTOR times the expected ones,
+ * are a surge. */
 constexpr common::Duration SURGE_SLICE{100'000};
 constexpr double SURGE_FACTOR = 2;
 constexpr double MIN_SURGE = 8;
 
-/** Longest time to come back that a caller is told: grants change every few hundred ms. */
+/** Longest retry-after time returned to a caller: grants change every few hundred ms. */
 constexpr common::Duration MAX_RETRY_AFTER{1'000'000};
 
 }  // namespace
@@ -77,14 +78,14 @@
     return {entry.grant->rate,
             std::max(MIN_GRANTED_BURST, entry.grant->rate * GRANTED_BURST_SECONDS)};
   }
-  // As it was when the allocator was last heard: what a daemon lets through by itself must not
-  // raise what it lets through next.
+  // The rate as of the last grants: operations that are admitted without the allocator must not
+  // raise the rate at which further ones are admitted.
   const Duration idle =
       std::max(Duration(0), this->last_grants_at.value_or(now) - entry.recent_rate_at);
   const double decayed_rate = entry.recent_rate * std::exp(-in_seconds(idle) / RECENT_RATE_SECONDS);
   const double share =
       entry.rate_limit / static_cast<double>(std::max<std::size_t>(1, this->sharing_daemons));
-  // With a grant the last word was that the tenant is near its limit.
+  // A grant means that the tenant was near its limit when the allocator was last reachable.
   const double rate =
       entry.grant ? entry.grant->fallback_rate : std::max(FALLBACK_FACTOR * decayed_rate, share);
   return {rate, std::max(MIN_FALLBACK_BURST, rate)};
@@ -161,7 +162,7 @@
     if (granted == by_name.end()) {
       entry.grant.reset();
       entry.refilled_at = now;
-      entry.tokens = MIN_FALLBACK_BURST;  // for the time when the allocator falls silent
+      entry.tokens = MIN_FALLBACK_BURST;  // for when the allocator becomes unresponsive
       continue;
     }
     if (!entry.grant) {
--- a/src/tenants/rate_limiter.h
+++ b/src/tenants/rate_limiter.h
@@ -1,14 +1,15 @@
 /**
- * @file Which operations of a tenant this daemon lets through.
+ * @file Decides which operations of a tenant this daemon admits under the tenant's rate limit.
  *
- * Each daemon that serves sessions counts what it lets through and tells the allocator
- * (rate_allocator.h), which sees the sum over all daemons. A tenant far from its limit is let
- * through without asking anybody. One that comes near it is held back to what the allocator grants
- * to this daemon. Without a word of the allocator each daemon goes on with a little more than what
- * it let through lately, so a lost allocator neither stops tenants nor lets one rush.
+ * Each daemon that serves sessions counts the operations that it admits and reports the counts to
+ * the allocator (rate_allocator.h), which computes the sum over all daemons. A tenant far from its
+ * limit is admitted by a local decision. A tenant near its limit is throttled to the rate that the
+ * allocator grants to this daemon. While the allocator is unresponsive, each daemon admits slightly
+ * more than its recent rate, so that the loss of the allocator neither stops a tenant nor removes
+ * its limit.
  *
  * Owns: counts, grants and token buckets by tenant. Invariant: a tenant without a limit is never
- * refused. Pure. Thread: its host's.
+ * refused. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -25,37 +26,38 @@
 
 namespace valvekeel::tenants {
 
+/** The rate limits of all tenants at one daemon. */
 class rate_limiter {
  public:
   explicit rate_limiter(const tenant_policy& policy) : policy(policy) {}
 
-  /** Takes the tenants of a new configuration. */
+  /** Applies the tenants of a new configuration; known tenants keep counts, grants and tokens. */
   void set_tenants(const std::map<std::string, tenant>& tenants);
 
-  /** @param daemons  that share a tenant's operations while nothing is known of their demand */
+  /** @param daemons  number that share a tenant's rate equally while their demand is unknown */
   void set_sharing_daemons(std::size_t daemons) { this->sharing_daemons = daemons; }
 
   /**
    * Counts an operation of a tenant.
    *
-   * @return nothing if it may run, else the time until there is room
+   * @return nothing if it may run, else the time after which the caller may retry
    */
   std::optional<common::Duration> admit(const std::string& tenant, common::Instant now);
 
-  /** Counts an operation that is sent to an instance once more. */
+  /** Counts an operation that is sent to an instance again. */
   void record_resent(const std::string& tenant, common::Instant now);
 
-  /** Takes what the allocator grants: all tenants that are to be held back. */
+  /** Applies the allocator's grants; tenants that are not among them are not throttled. */
   void apply_grants(const std::vector<rate_grant>& grants, common::Instant now);
 
-  /** @return the counts that have changed since an instant. */
+  /** @return the counts that changed at the given time or later. */
   std::vector<usage_count> usage_since(common::Instant since) const;
 
-  /** @return true if some tenant's operations come much faster than they did: the allocator should
-   * hear of it now. Asking resets it. */
+  /** @return true if a tenant's operations arrive much faster than before, so that the counts
+   * should be reported to the allocator at once. Clears the flag. */
   bool consume_surge();
 
-  /** @return how many operations were refused, by tenant. */
+  /** @return the number of refused operations by tenant; tenants without any are left out. */
   std::map<std::string, std::uint64_t> refused() const;
 
  private:
@@ -64,9 +66,9 @@
     double rate_limit = 0;  // operations a second over all daemons; 0: none
     usage_count count;
     common::Instant changed_at{0};
-    double recent_rate = 0;  // operations a second let through lately
+    double recent_rate = 0;  // operations a second, averaged over the last admitted ones
     common::Instant recent_rate_at{0};
-    std::uint32_t offered_in_slice = 0;  // operations offered in the present slice of time
+    std::uint32_t offered_in_slice = 0;  // operations in the current time slice
     common::Instant slice_start{0};
     std::optional<rate_grant> grant;
     double tokens = 0;
@@ -75,7 +77,7 @@
 
   tenant_state* find(const std::string& tenant);
   bool allocator_unresponsive(common::Instant now) const;
-  /** What flows into a token bucket, and how much it holds at most. */
+  /** Refill rate and size of a token bucket. */
   struct bucket_parameters {
     double rate = 0;  // operations a second
     double capacity = 0;
