--- a/src/access/rule.h
+++ b/src/access/rule.h
@@ -1,12 +1,12 @@
 /**
- * @file What a rule says of sending work to an instance.
+ * @file Defines the interface of rules that decide whether work may be sent to an instance.
  *
- * A deployment may keep work away from an instance for reasons that lie outside the instance
- * itself: its zone is evacuated, it has just started, it stands in a region where the work may not
- * run. Each reason is a rule with a module of its own; rule_set (rule_set.h) asks all of them.
+ * Work may have to stay away from an instance for reasons that lie outside the instance itself: its
+ * zone is being evacuated, it has just started, or its region is not allowed for the work. Each
+ * reason is a rule in a module of its own; rule_set (rule_set.h) evaluates all of them.
  *
- * Owns: the typed values and the interface. Invariant: a rule decides from what it was told and the
- * time alone. Pure. Thread: its host's.
+ * Invariant: a rule decides only from its own state, its arguments and the given time. No I/O and
+ * no clock; not thread-safe.
  */
 #pragma once
 
@@ -20,35 +20,36 @@
 
 namespace valvekeel::access {
 
-/** Whether an instance may get work. Ordered: the stricter is greater. */
+/** Whether an instance may get work. Ordered: the stricter level is greater. */
 enum class access_level : std::uint8_t {
   open,
-  overflow,     // what the open instances have no room for
-  last_resort,  // only if no other instance of the service may be used
-  deferred,     // nothing at this moment; the rule will let some through again soon
-  closed,       // nothing while the rule's reason lasts
+  overflow,     // only work for which the open instances lack capacity
+  last_resort,  // only if no other instance of the service may get it
+  deferred,     // none now; the rule is expected to allow some again soon
+  closed,       // none while the rule's reason lasts
 };
 
-/** A rule's word on one instance. */
+/** A rule's decision about work for one instance. */
 struct decision {
   access_level level = access_level::open;
-  const char* reason = "";          // of any outcome but open, for logs and refusals
-  common::Duration retry_after{0};  // after which another try is worth it; of later and closed
+  const char* reason = "";          // of every level but open; for logs and refusals
+  common::Duration retry_after{0};  // until a retry may succeed; of deferred and closed
 };
 
-/** The work that asks for an instance. */
+/** The work that is to be sent to an instance. */
 struct work {
   const model::Route& route;
-  std::string_view tenant;             // for whom it runs; empty: for no tenant
-  bool continues_transaction = false;  // a transaction is open at the instance
+  std::string_view tenant;             // that it runs for; empty: none
+  bool continues_transaction = false;  // its transaction is open at the instance
 };
 
-/** A rule's word on an instance as the leader of its group. */
+/** A rule's rating of an instance as the leader of its group. */
 struct leader_evaluation {
   model::LeaderFitness fitness = model::LeaderFitness::kFit;
   const char* reason = "";  // of any fitness but the best, for logs
 };
 
+/** One reason to keep work away from instances. */
 class rule {
  public:
   rule() = default;
@@ -60,14 +61,14 @@
   virtual decision evaluate(const model::InstanceEntry& instance, const work& requested,
                             common::Instant now) const = 0;
 
-  /** @return whether the instance should lead its group. */
+  /** @return how fit the instance is to lead its group. */
   virtual leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
                                             common::Instant now) const = 0;
 
   /**
-   * Callers' work goes to the instance.
+   * Called when callers' work is sent to the instance.
    *
-   * @param requests  number of messages, each of which the instance answers
+   * @param requests  number of messages sent, each of which the instance answers
    */
   virtual void on_sent(const model::InstanceEntry& instance, std::size_t requests,
                        common::Instant now) = 0;
--- a/src/regions/allowed_regions.h
+++ b/src/regions/allowed_regions.h
@@ -1,8 +1,8 @@
 /**
- * @file The regions where work may run.
+ * @file Defines the set of regions where work may run.
  *
- * Owns: the typed value. Invariant: "everywhere" and "nowhere" are different values: what two lists
- * without a common region leave is nowhere. Pure. Thread: any (values only).
+ * Invariant: "everywhere" and "nowhere" are different values; the intersection of two lists without
+ * a common region is nowhere. Values only; safe in any thread.
  */
 #pragma once
 
@@ -12,19 +12,20 @@
 
 namespace valvekeel::regions {
 
+/** A set of regions, or all regions. */
 class allowed_regions {
  public:
-  /** Everywhere. */
+  /** Allows every region. */
   allowed_regions() = default;
 
-  /** @param named  as configured: an empty list allows every region */
+  /** @param named  the configured list; an empty one allows every region */
   explicit allowed_regions(const std::vector<std::string>& named)
       : names(named.begin(), named.end()), is_everywhere(named.empty()) {}
 
-  /** @return the regions that both allow. */
+  /** @return the regions that this set and the other one both allow. */
   allowed_regions intersect(const allowed_regions& other) const;
 
-  /** @param region  empty if it is not known: then only "everywhere" allows it */
+  /** @param region  empty if it is unknown; only "everywhere" allows an unknown region */
   bool allows(const std::string& region) const {
     return this->is_everywhere || (!region.empty() && this->names.contains(region));
   }
--- a/src/regions/region_directory.h
+++ b/src/regions/region_directory.h
@@ -1,7 +1,7 @@
 /**
- * @file Which region a zone lies in.
+ * @file Maps zones to regions.
  *
- * Owns: the map that the settings tell. Invariant: none. Pure. Thread: any.
+ * Owns: the map from the settings, which never changes. No I/O and no clock; safe in any thread.
  */
 #pragma once
 
@@ -11,12 +11,13 @@
 
 namespace valvekeel::regions {
 
+/** The regions of the deployment and their zones. */
 class region_directory {
  public:
   /** @param by_zone  the region of each zone of the deployment */
   explicit region_directory(std::map<std::string, std::string> by_zone);
 
-  /** @return the zone's region, empty if it is not known. */
+  /** @return the zone's region; empty if the zone is not in the settings. */
   const std::string& region_of(const std::string& zone) const;
 
   /** @return all regions of the deployment. */
--- a/src/regions/region_policy.h
+++ b/src/regions/region_policy.h
@@ -1,9 +1,10 @@
 /**
- * @file Where the work of each route and tenant may run, by the newest configuration.
+ * @file Decides in which zones the work of each route and tenant may run.
  *
- * Owns: the regions that routes and tenants name. Invariant: if a route and a tenant both name
- * regions, both bind; the tenant of a public route's caller is not known and binds nothing. Pure.
- * Thread: its host's.
+ * Owns: the allowed regions of routes and tenants in the newest configuration. Invariant: if a
+ * route and a tenant both name regions, work runs only in regions that both allow. The tenant of a
+ * public route's caller is not identified, so its regions do not apply. No I/O and no clock; not
+ * thread-safe.
  */
 #pragma once
 
@@ -18,23 +19,24 @@
 
 namespace valvekeel::regions {
 
+/** The allowed regions of the newest configuration. */
 class region_policy {
  public:
   explicit region_policy(region_directory directory);
 
   /**
-   * Takes a new configuration.
+   * Applies a new configuration.
    *
-   * @return true if regions changed
+   * @return true if the regions of a route or tenant changed
    */
   bool set_configuration(const model::Configuration& configuration);
 
-  /** @return true if some route or tenant names regions: else everything is allowed. */
+  /** @return true if some route or tenant names regions; otherwise everything is allowed. */
   bool active() const { return this->is_active; }
 
   /**
-   * @param database  of a route; one that is not configured allows what the tenant does
-   * @param tenant    empty: no tenant
+   * @param database  of a route; without a configured route only the tenant's regions apply
+   * @param tenant    empty: no tenant's regions apply
    * @return true if work of the route for the tenant may run in the zone
    */
   bool allows(std::string_view database, std::string_view tenant, const std::string& zone) const;
@@ -43,8 +45,8 @@
   bool allows_anywhere(std::string_view database, std::string_view tenant) const;
 
   /**
-   * @return true if every route of the service may run in the zone; also if no region of the
-   * deployment is allowed for all of them, since then none is better than another
+   * @return true if every route of the service may run in the zone. Also true if no region of the
+   * deployment is allowed for all of them, since then no zone is better than another.
    */
   bool allows_leader(std::string_view service, const std::string& zone) const;
 
@@ -55,7 +57,7 @@
 
     bool operator==(const route_regions&) const = default;
   };
-  /** Those that allow every region are left out. */
+  /** Holds no entry for a name that allows every region. */
   template <typename Value>
   using by_name = std::map<std::string, Value, std::less<>>;
 
@@ -65,7 +67,7 @@
   region_directory directory;
   by_name<route_regions> routes;        // by database
   by_name<allowed_regions> tenants;     // by name
-  by_name<allowed_regions> by_service;  // common to all routes, if the deployment has any of them
+  by_name<allowed_regions> by_service;  // regions common to all routes, if the deployment has one
   bool is_active = false;
 };
 
--- a/src/regions/region_rule.h
+++ b/src/regions/region_rule.h
@@ -1,8 +1,8 @@
 /**
- * @file The access rule that keeps work in its regions.
+ * @file Implements the access rule that keeps work in its allowed regions.
  *
- * Owns: nothing. Invariant: the newest configuration decides, also about work that began under an
- * older one. Pure. Thread: its host's.
+ * Invariant: the newest configuration decides, also about transactions that began under an older
+ * one. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -11,16 +11,17 @@
 
 namespace valvekeel::regions {
 
-/** Why an instance is closed, and why one should not lead. */
+/** Reason for which an instance is closed, or is unfit to lead. */
 inline constexpr const char* OUTSIDE_REGIONS = "outside its regions";
 
-/** Time after which refused work may come back: regions change with a configuration only, and a
- * primary is replaced within about this time. */
+/** Retry-after time of refused work. Regions change only with a new configuration, and a primary is
+ * replaced within about this time. */
 inline constexpr common::Duration RETRY_AFTER{1'000'000};
 
+/** Closes the instances outside the regions that are allowed for the work. */
 class region_rule : public access::rule {
  public:
-  /** @param policy  outlives the rule */
+  /** @param policy  must outlive the rule */
   explicit region_rule(const region_policy& policy) : policy(policy) {}
 
   access::decision evaluate(const model::InstanceEntry& instance, const access::work& requested,
