--- a/tests/access/rule_set_test.cc
+++ b/tests/access/rule_set_test.cc
@@ -1,4 +1,4 @@
-// Several rules on one instance, as one answer.
+// Tests how several rules for one instance combine into one decision.
 
 #include "access/rule_set.h"
 
@@ -9,7 +9,7 @@
 
 constexpr common::Instant NOW{10'000'000};
 
-/** Gives the answers that a test sets. */
+/** Returns the decisions that the test sets. */
 class fixed_rule : public rule {
  public:
   decision evaluate(const model::InstanceEntry& /*instance*/, const work& /*requested*/,
@@ -58,7 +58,7 @@
   CHECK(rules.evaluate_leader({}, NOW).reason == std::string("strict"));
 }
 
-TEST_CASE("Every rule hears of what is sent", "[access]") {
+TEST_CASE("Every rule is notified of sent work", "[access]") {
   fixed_rule first;
   fixed_rule second;
   rule_set rules;
--- a/tests/regions/region_policy_test.cc
+++ b/tests/regions/region_policy_test.cc
@@ -1,4 +1,4 @@
-// Where work of a route and a tenant may run.
+// Tests in which zones the work of routes and tenants may run.
 
 #include "regions/region_policy.h"
 
@@ -55,13 +55,13 @@
   CHECK(policy.allows_anywhere("orders", "baker"));
 }
 
-TEST_CASE("A route's regions bind also callers without a tenant", "[regions]") {
+TEST_CASE("A route's regions also apply to callers without a tenant", "[regions]") {
   const region_policy policy = policy_of(configuration({"north"}, {}));
   CHECK(policy.allows("orders", "", "n2"));
   CHECK_FALSE(policy.allows("orders", "", "s1"));
 }
 
-TEST_CASE("A tenant's regions bind its work on every route", "[regions]") {
+TEST_CASE("A tenant's regions apply to its work on every route", "[regions]") {
   const region_policy policy = policy_of(configuration({}, {"south"}));
   CHECK(policy.allows("orders", "baker", "s1"));
   CHECK_FALSE(policy.allows("orders", "baker", "n1"));
@@ -69,14 +69,13 @@
   CHECK(policy.allows("orders", "another", "n1"));
 }
 
-TEST_CASE("A route's and a tenant's regions both bind", "[regions]") {
+TEST_CASE("A route's and a tenant's regions both apply", "[regions]") {
   const region_policy policy = policy_of(configuration({"north", "south"}, {"south"}));
   CHECK(policy.allows("orders", "baker", "s1"));
   CHECK_FALSE(policy.allows("orders", "baker", "n1"));
 }
 
-TEST_CASE("Without a common region nothing may run, which is not the same as everywhere",
-          "[regions]") {
+TEST_CASE("Without a common region work may run nowhere, not everywhere", "[regions]") {
   const region_policy policy = policy_of(configuration({"north"}, {"south"}));
   CHECK_FALSE(policy.allows("orders", "baker", "n1"));
   CHECK_FALSE(policy.allows("orders", "baker", "s1"));
@@ -85,13 +84,13 @@
   CHECK_FALSE(allowed_regions({"north"}).intersect(allowed_regions({"south"})).everywhere());
 }
 
-TEST_CASE("A zone without a known region is outside of all regions", "[regions]") {
+TEST_CASE("A zone without a known region is outside all regions", "[regions]") {
   const region_policy policy = policy_of(configuration({"north"}, {}));
   CHECK_FALSE(policy.allows("orders", "", "elsewhere"));
   CHECK_FALSE(policy.allows_leader("ledger", "elsewhere"));
 }
 
-TEST_CASE("A public route's callers have no tenant whose regions could bind", "[regions]") {
+TEST_CASE("A tenant's regions do not apply on a public route", "[regions]") {
   model::Configuration given = configuration({}, {"south"});
   given.routes["orders"].is_public = true;
   CHECK(policy_of(given).allows("orders", "baker", "n1"));
@@ -107,7 +106,7 @@
   CHECK(policy.allows("orders", "", "n1"));
 }
 
-TEST_CASE("A leader belongs where every route of its service may run", "[regions]") {
+TEST_CASE("A leader is allowed where every route of its service may run", "[regions]") {
   model::Configuration given = configuration({"north", "south"}, {});
   model::Route second = given.routes["orders"];
   second.database = "stock";
@@ -118,7 +117,7 @@
   CHECK(policy_of(given).allows_leader("another", "n1"));
 }
 
-TEST_CASE("Without a region common to its routes no leader is better than another", "[regions]") {
+TEST_CASE("Without a region common to its routes a leader is allowed everywhere", "[regions]") {
   model::Configuration given = configuration({"north"}, {});
   model::Route second = given.routes["orders"];
   second.database = "stock";
@@ -129,7 +128,8 @@
   CHECK(policy_of(configuration({"abroad"}, {})).allows_leader("ledger", "n1"));
 }
 
-TEST_CASE("An instance outside is closed, with a time to come back", "[regions]") {
+TEST_CASE("An instance outside the allowed regions is closed, with a retry-after time",
+          "[regions]") {
   const region_policy policy = policy_of(configuration({"north"}, {"north"}));
   const region_rule rule(policy);
   model::Route route;
--- a/tests/tenants/key_digest_test.cc
+++ b/tests/tenants/key_digest_test.cc
@@ -1,4 +1,4 @@
-// Digests of keys, the directory of tenants, and how long proofs hold.
+// Tests the digests of keys, the directory of keys, and how long proofs admit keys.
 
 #include "tenants/key_digest.h"
 
@@ -36,14 +36,14 @@
   CHECK_FALSE(digest_of("abc") == digest_of("abd"));
 }
 
-TEST_CASE("Digits that are no digest are not read", "[tenants]") {
+TEST_CASE("A text that is not exactly one digest is rejected", "[tenants]") {
   CHECK_FALSE(from_hex("").has_value());
   CHECK_FALSE(from_hex("ba78").has_value());
   CHECK_FALSE(from_hex(to_hex(digest_of("abc")) + "00").has_value());
   CHECK_FALSE(from_hex(std::string(64, 'x')).has_value());
 }
 
-TEST_CASE("A key passes to another tenant and is taken away", "[tenants]") {
+TEST_CASE("A key can move to another tenant and can be removed", "[tenants]") {
   key_directory keys;
   keys.set({{"north", make_tenant("north", "k1")}, {"south", make_tenant("south", "k2")}});
   REQUIRE(keys.find(digest_of("k1")) != nullptr);
@@ -53,7 +53,7 @@
   CHECK(keys.find(digest_of("k2")) == nullptr);
 }
 
-TEST_CASE("A proof holds for less than the limit from the read that it stands for", "[tenants]") {
+TEST_CASE("A proof expires before the limit has passed since its read", "[tenants]") {
   freshness proofs(LIMIT);
   CHECK_FALSE(proofs.is_fresh(3, START));
   proofs.record_proof({3, START});
@@ -63,7 +63,7 @@
   CHECK(proofs.is_fresh(3, START + LIMIT - LIMIT / 10));
 }
 
-TEST_CASE("A proof of a later version proves nothing of an earlier one", "[tenants]") {
+TEST_CASE("A proof of a later version does not cover an earlier version", "[tenants]") {
   freshness proofs(LIMIT);
   proofs.record_proof({3, START});
   proofs.record_proof({5, START + LIMIT / 2});
@@ -79,7 +79,7 @@
   CHECK(proofs.is_fresh(1, START));
 }
 
-TEST_CASE("An unknown key is told apart from keys that cannot be checked", "[tenants]") {
+TEST_CASE("An unknown key is distinguished from keys that cannot be checked", "[tenants]") {
   const tenant_policy policy = strict_policy();
   admission tenant_admission(policy);
   tenant_admission.set_configuration(2, {{"north", make_tenant("north", "k1")}});
@@ -97,7 +97,7 @@
         admission_outcome::unproven);
 }
 
-TEST_CASE("Where keys are not used every caller is admitted", "[tenants]") {
+TEST_CASE("Without required keys every caller is admitted", "[tenants]") {
   const tenant_policy policy;
   admission tenant_admission(policy);
   const admission_result result = tenant_admission.admit(false, digest_of("whoever"), START);
--- a/tests/tenants/rate_limits_test.cc
+++ b/tests/tenants/rate_limits_test.cc
@@ -1,4 +1,5 @@
-// Tenants' limits: a few limiters and an allocator, with messages that take their time.
+// Tests tenants' rate limits with several limiters and one allocator, which exchange messages at
+// heartbeats.
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -21,7 +22,7 @@
 constexpr double SLACK = 20;
 constexpr double OVERAGE = 1.1;
 
-/** Daemons that serve one tenant, and one that allocates. */
+/** Daemons that serve one tenant, and the allocator of its rate. */
 class fleet {
  public:
   fleet(std::size_t daemons, double rate) : rate(rate) {
@@ -48,7 +49,7 @@
     this->allocator->set_tenants(tenants, this->now);
   }
 
-  /** Lets the tenant ask at a rate for a while. */
+  /** Runs for a time in which the tenant's callers offer operations at the given mean rate. */
   void run(Duration time, double offered_per_s) {
     const Instant end = this->now + time;
     const double mean = offered_per_s * static_cast<double>(STEP.count()) / 1e6;
@@ -68,7 +69,7 @@
     }
   }
 
-  /** @return the most that was let through in any window. */
+  /** @return the greatest number of operations admitted in any window. */
   std::size_t max_in_window() const {
     std::size_t highest = 0;
     std::size_t first = 0;
@@ -139,13 +140,15 @@
       daemons.run(std::chrono::seconds(6), rate * times);
       INFO("rate " << rate << ", " << times << " times");
       CHECK(static_cast<double>(daemons.max_in_window()) <= daemons.limit());
-      // What the limit allows is let through: at least its rate while more is asked for.
+      // The limiters do not refuse more than the limit requires: at least 90 % of the limit's rate,
+      // or of the offered rate where that is lower, is admitted.
       CHECK(static_cast<double>(daemons.admitted.size()) >= 0.9 * rate * (18 + 14 / 1.6));
     }
   }
 }
 
-TEST_CASE("A lost allocator neither stops a tenant nor lets it rush", "[tenants]") {
+TEST_CASE("The loss of the allocator neither stops a tenant nor lets it exceed its limit",
+          "[tenants]") {
   fleet daemons(24, 100);
   daemons.run(std::chrono::seconds(10), 62);
   daemons.allocator_reachable = false;
@@ -159,7 +162,7 @@
   CHECK(static_cast<double>(daemons.max_in_window()) <= daemons.limit());
 }
 
-TEST_CASE("A lower limit holds one window after it came", "[tenants]") {
+TEST_CASE("A lowered limit is enforced one window after its configuration", "[tenants]") {
   fleet daemons(24, 100);
   daemons.run(std::chrono::seconds(10), 62);
   daemons.configure(20);
@@ -170,7 +173,8 @@
   CHECK(static_cast<double>(daemons.admitted.size()) >= 0.9 * 20 * 10);
 }
 
-TEST_CASE("Counts made before an allocator listened do not count as made now", "[tenants]") {
+TEST_CASE("Operations from before the allocator's first report are not counted as recent",
+          "[tenants]") {
   tenant_policy policy;
   policy.rates_limited = true;
   tenant north;
@@ -181,21 +185,22 @@
   const Instant start{1'000'000};
   allocator.set_tenants({{"north", north}}, start);
   const double before = allocator.remaining_tokens("north");
-  // The daemon's first message holds other tenants' counts, a later one north's of an hour.
+  // The daemon's first message has no counts of north; the next one has the counts of an hour.
   allocator.record_usage("d", 1, {}, start);
   allocator.record_usage("d", 1, {{tenant_id_of("north"), 5000, 5000}}, start + HEARTBEAT);
   CHECK(allocator.remaining_tokens("north") >= before);
   allocator.record_usage("d", 1, {{tenant_id_of("north"), 5004, 5004}}, start + 2 * HEARTBEAT);
   CHECK(allocator.remaining_tokens("north") >= before - 4);
-  // After silence, only what was let through in its last second counts.
+  // After a gap between reports only the operations of its last second are counted.
   allocator.record_usage("d", 1, {{tenant_id_of("north"), 5404, 5404}}, start + 8 * WINDOW);
   CHECK(allocator.remaining_tokens("north") == Approx(10 - 400 / 39.5));
-  // A later life counts from zero.
+  // A new incarnation counts from zero.
   allocator.record_usage("d", 2, {{tenant_id_of("north"), 3, 3}}, start + 9 * WINDOW);
   CHECK(allocator.remaining_tokens("north") == Approx(10 - 3 / 5.0));
 }
 
-TEST_CASE("An allocator that is lost as a tenant rushes is followed in time", "[tenants]") {
+TEST_CASE("The limit holds if the allocator is lost for a while as a tenant exceeds its rate",
+          "[tenants]") {
   fleet daemons(24, 320);
   daemons.run(std::chrono::seconds(6), 200);
   daemons.run(std::chrono::seconds(2), 620);
