--- a/src/proxy/read_placement.cc
+++ b/src/proxy/read_placement.cc
@@ -110,8 +110,8 @@
   std::vector<Placement> draining_or_last_resort;
   for (const std::string& id : members) {
     const Backend& backend = backends_.All().at(id);
-    const access::verdict verdict = access_.judge(backend.Entry(), work, now).outcome;
-    if (verdict >= access::verdict::later) {
+    const access::access_level verdict = access_.evaluate(backend.Entry(), work, now).level;
+    if (verdict >= access::access_level::deferred) {
       continue;
     }
     auto placement = PlacementOn(backend, id == usable_primary, group, required, now);
@@ -119,10 +119,10 @@
       continue;
     }
     const bool draining = backend.draining_since || backend.unlisted_since;
-    if (draining || verdict == access::verdict::last_resort) {
+    if (draining || verdict == access::access_level::last_resort) {
       draining_or_last_resort.push_back(std::move(*placement));
     } else {
-      (verdict == access::verdict::overflow ? overflow : available)
+      (verdict == access::access_level::overflow ? overflow : available)
           .push_back(std::move(*placement));
     }
   }
--- a/src/proxy/session_relay.cc
+++ b/src/proxy/session_relay.cc
@@ -89,7 +89,7 @@
   ++refused_outside_regions_;
   outbox_.Emit(CloseSession{
       session, true, model::ErrorCode::kBusy,
-      "retry_after_ms=" + MillisecondsText(regions::COME_BACK) + " " + regions::OUTSIDE_REGIONS});
+      "retry_after_ms=" + MillisecondsText(regions::RETRY_AFTER) + " " + regions::OUTSIDE_REGIONS});
 }
 
 void SessionRelay::ServeOrDecline(SessionNumber session, const StartRequest& start,
--- a/src/tenants/key_digest.cc
+++ b/src/tenants/key_digest.cc
@@ -21,7 +21,7 @@
 }
 
 std::string to_hex(const key_digest& digest) {
-  std::string digits(key_digest::SIZE * 2 + 1, '\0');  // sodium ends it with a zero byte
+  std::string digits(key_digest::SIZE * 2 + 1, '\0');  // libsodium appends a zero byte
   sodium_bin2hex(digits.data(), digits.size(), digest.bytes.data(), key_digest::SIZE);
   digits.pop_back();
   return digits;
@@ -33,8 +33,8 @@
   const char* end = nullptr;
   const int failed = sodium_hex2bin(digest.bytes.data(), key_digest::SIZE, digits.data(),
                                     digits.size(), nullptr, &length, &end);
-  const bool whole = end == digits.data() + digits.size();
-  if (failed != 0 || length != key_digest::SIZE || !whole) {
+  const bool complete = end == digits.data() + digits.size();
+  if (failed != 0 || length != key_digest::SIZE || !complete) {
     return std::nullopt;
   }
   return digest;
--- a/src/waiting/wait_forecast.cc
+++ b/src/waiting/wait_forecast.cc
@@ -11,7 +11,7 @@
 namespace {
 
 using tenants::in_seconds;
-using tenants::MICROSECONDS_IN_SECOND;
+using tenants::MICROSECONDS_PER_SECOND;
 
 /** @return the factor by which an observation decays over a time. */
 double decay_factor(common::Duration elapsed) {
@@ -19,7 +19,7 @@
 }
 
 common::Duration from_seconds(double seconds) {
-  return common::Duration(static_cast<std::int64_t>(seconds * MICROSECONDS_IN_SECOND));
+  return common::Duration(static_cast<std::int64_t>(seconds * MICROSECONDS_PER_SECOND));
 }
 
 }  // namespace
