--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: sessions that read, write and run transactions, and check the answers."""
+"""Simulated callers: sessions that read, write and run transactions, and check the answers."""
 
 import asyncio
 import random
@@ -7,20 +7,21 @@
 from database import signature
 from unanswered import is_closed, is_written
 
-FRONT_PORT = 8784
-ANSWER_SECONDS = 4.0
-START_SECONDS = 2.0
-PROMISES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "MOVED", "MAXCONN"}
-BOUND_SECONDS = {"primary": 0.0, "bounded": 1.5, "own": 2.5}
+CALLER_PORT = 8784
+ANSWER_TIMEOUT_SECONDS = 4.0
+START_TIMEOUT_SECONDS = 2.0
+# Errors with which a write has not run and must never appear in the log.
+NOT_RUN_CODES = {"BUSY", "ABORTED", "LAGGING", "READONLY", "MOVED", "MAXCONN"}
+STALENESS_BOUND_SECONDS = {"primary": 0.0, "bounded": 1.5, "own": 2.5}
 
 
 class History:
-    """What was acknowledged, and what must not have happened."""
+    """Acknowledged and refused writes, counts of operations, and violations of the rules."""
 
     def __init__(self):
         self.acknowledged = {}  # request id: service
         self.refused = {}       # request id: service
-        self.commits = {}       # service: list of (log number, instant of the acknowledgement)
+        self.commits = {}       # service: list of (log number, time of the acknowledgement)
         self.violations = []
         self.done = self.failed = 0
         self.failures = {}
@@ -29,14 +30,14 @@
         self.acknowledged[request_id] = service
         self.commits.setdefault(service, []).append((number, time.monotonic()))
 
-    def least(self, service, before):
-        """The part of the log that a read must run on that sees what was acknowledged before."""
+    def minimum_position(self, service, before):
+        """Returns the least log number that includes all commits acknowledged by `before`."""
         return max((number for number, at in self.commits.get(service, []) if at <= before),
                    default=0)
 
 
 class Gone(Exception):
-    """The session ended or did not answer."""
+    """The session ended or did not answer in time."""
 
 
 class Refused(Exception):
@@ -50,23 +51,23 @@
         self.number, self.random = number, random.Random(seed * 1000 + number)
         self.daemons, self.group, self.kind = daemons, group, kind
         self.history, self.requests = history, requests
-        self.daemon = None  # that has the session
+        self.daemon = None  # the daemon that serves the session
         self.service = group.service
-        self.thing, self.value, self.count = "t%d" % number, 0, 0
-        self.own = 0  # log number of the session's last commit
+        self.key, self.value, self.count = "t%d" % number, 0, 0
+        self.last_commit = 0  # log number of the session's last commit
         self.reader = self.writer = None
         self.session_value = ""
 
     async def connect(self):
         self.daemon = self.random.choice(self.daemons)
         self.reader, self.writer = await asyncio.wait_for(
-            asyncio.open_connection(self.daemon.host, FRONT_PORT), START_SECONDS)
+            asyncio.open_connection(self.daemon.host, CALLER_PORT), START_TIMEOUT_SECONDS)
         self.writer.write(("START %s.%s caller%d\r\n" % (self.service, self.kind, self.number))
                           .encode())
-        line = (await asyncio.wait_for(self.reader.readline(), START_SECONDS)).decode()
+        line = (await asyncio.wait_for(self.reader.readline(), START_TIMEOUT_SECONDS)).decode()
         if not line.startswith("READY I"):
             raise Gone(line)
-        self.own = 0
+        self.last_commit = 0
         self.session_value = ""
         if self.sets_value():
             await self.set_value()
@@ -88,11 +89,11 @@
         self.writer.write(("QUERY %s %s\r\n" % (request_id, text)).encode())
         if not is_written(self.writer):
             raise Gone("not written")
-        request = self.requests.send(request_id, self.daemon)
+        request = self.requests.on_sent(request_id, self.daemon)
         try:
             rows, outcome = await self.receive(request)
         finally:
-            self.requests.end(request)
+            self.requests.on_ended(request)
         if outcome[0] == "ERROR":
             raise Refused(outcome[1].split(" ")[0])
         if outcome[1] != "-" and outcome[1] != signature(request_id, rows):
@@ -100,16 +101,17 @@
         return rows
 
     async def receive(self, request):
-        """The rows and the outcome; notes a request whose connection ends without one."""
+        """Returns the rows and the outcome; records a request whose connection ends without one."""
         rows, outcome = [], None
         while True:
             try:
-                line = (await asyncio.wait_for(self.reader.readline(), ANSWER_SECONDS)).decode()
+                line = (await asyncio.wait_for(self.reader.readline(),
+                                               ANSWER_TIMEOUT_SECONDS)).decode()
             except ConnectionError:
                 line = ""
             if not line.endswith("\r\n"):
                 if outcome is None or outcome[0] == "COMPLETE":
-                    self.requests.close(request)
+                    self.requests.on_connection_ended(request)
                 raise Gone("cut off")
             word, _, rest = line.rstrip("\r\n").partition(" ")
             if word == "ROW":
@@ -120,23 +122,24 @@
                 return rows, outcome
 
     async def pause(self):
-        """Between the statements of a transaction."""
+        """Pauses between the statements of a transaction; does nothing by default."""
 
     async def read(self, request_id, began):
-        """Reads a thing and checks its age and the session's values."""
-        least = self.history.least(self.service, began - BOUND_SECONDS[self.kind])
+        """Reads a key and checks the staleness of the read and the session's values."""
+        minimum_position = self.history.minimum_position(
+            self.service, began - STALENESS_BOUND_SECONDS[self.kind])
         if self.kind == "own":
-            least = max(least, self.own)
+            minimum_position = max(minimum_position, self.last_commit)
         row = (await self.ask(request_id, "READ t%d" % self.random.randrange(self.number + 3)))[0]
         _, values, applied = row.split(";")
-        if int(applied) < least:
+        if int(applied) < minimum_position:
             self.history.violations.append("STALE: %s read %s on a log of %s, needed %d" % (
-                self.kind, request_id, applied, least))
+                self.kind, request_id, applied, minimum_position))
         expected = "who=" + self.session_value if self.session_value else ""
         if values != expected:
             self.history.violations.append("PINNED: %s instead of %s" % (values, expected))
 
-    async def operate(self):
+    async def run_operation(self):
         request_id = self.new_id()
         writes = self.kind != "bounded" and self.random.random() < 0.35
         transaction = self.random.random() < 0.3
@@ -152,7 +155,7 @@
             else:
                 self.value += 1
                 sent_commit = not transaction
-                await self.ask(request_id, "PUT %s %d" % (self.thing, self.value))
+                await self.ask(request_id, "PUT %s %d" % (self.key, self.value))
             if transaction:
                 await self.pause()
                 sent_commit = writes
@@ -160,14 +163,14 @@
         except Refused as refusal:
             self.history.failed += 1
             self.history.failures[refusal.code] = self.history.failures.get(refusal.code, 0) + 1
-            if writes and refusal.code in PROMISES:
+            if writes and refusal.code in NOT_RUN_CODES:
                 self.history.refused[request_id] = self.service
             if transaction:
                 raise Gone("after an error in a transaction") from refusal
             return
         if writes:
-            self.own = self.group.number_of(request_id)
-            self.history.acknowledge(request_id, self.service, self.own)
+            self.last_commit = self.group.number_of(request_id)
+            self.history.acknowledge(request_id, self.service, self.last_commit)
         self.history.done += 1
 
     async def run(self, until):
@@ -177,10 +180,10 @@
                 for _ in range(self.random.randrange(1, 60)):
                     if time.monotonic() >= until():
                         break
-                    await self.operate()
+                    await self.run_operation()
                     await asyncio.sleep(self.random.uniform(0.01, 0.15))
-            except (Gone, Refused, ConnectionError, OSError, asyncio.TimeoutError) as fault:
-                name = type(fault).__name__
+            except (Gone, Refused, ConnectionError, OSError, asyncio.TimeoutError) as error:
+                name = type(error).__name__
                 self.history.failures[name] = self.history.failures.get(name, 0) + 1
                 await asyncio.sleep(0.05)
             finally:
@@ -189,21 +192,22 @@
                     self.writer = None
 
 
-class Persistent(Caller):
-    """Keeps its session to the end, and connects again at once, also to a daemon that stops.
+class PersistentCaller(Caller):
+    """Keeps its session as long as possible and reconnects at once, even to a daemon that stops.
 
-    Half of them know one daemon alone. Some rest, also in transactions; some go on at once. Half of
-    the sessions have no values: their first command is for an instance.
+    Half of these callers use only one daemon. Some pause between statements and operations, also
+    inside transactions; some send the next request at once. Half of the sessions set no values, so
+    that their first command goes to an instance.
     """
 
-    PACES = [(0.0, 0.0), (0.01, 0.15), (0.2, 1.5)]  # seconds between statements and operations
+    PAUSE_RANGES_SECONDS = [(0.0, 0.0), (0.01, 0.15), (0.2, 1.5)]
     RECONNECT_SECONDS = 0.01
     BURST = 20
-    BURST_PAUSE_SECONDS = 0.1  # of those that go on at once, so that the stand-ins keep up
+    BURST_PAUSE_SECONDS = 0.1  # without it, callers that never pause overload the stand-ins
 
     def __init__(self, number, seed, daemons, *others):
         super().__init__(number, seed, daemons, *others)
-        self.pace = self.PACES[number % len(self.PACES)]
+        self.pause_range = self.PAUSE_RANGES_SECONDS[number % len(self.PAUSE_RANGES_SECONDS)]
         if number % 2:
             self.daemons = [daemons[number // 2 % len(daemons)]]
 
@@ -211,20 +215,20 @@
         return self.random.random() < 0.5
 
     async def pause(self):
-        if self.pace[1]:
-            await asyncio.sleep(self.random.uniform(*self.pace))
+        if self.pause_range[1]:
+            await asyncio.sleep(self.random.uniform(*self.pause_range))
 
     async def run(self, until):
         while time.monotonic() < until():
             try:
                 await self.connect()
                 while time.monotonic() < until():
-                    await self.operate()
+                    await self.run_operation()
                     await self.pause()
                     if self.count % self.BURST == 0:
                         await asyncio.sleep(self.BURST_PAUSE_SECONDS)
-            except (Gone, Refused, ConnectionError, OSError, asyncio.TimeoutError) as fault:
-                name = type(fault).__name__
+            except (Gone, Refused, ConnectionError, OSError, asyncio.TimeoutError) as error:
+                name = type(error).__name__
                 self.history.failures[name] = self.history.failures.get(name, 0) + 1
                 await asyncio.sleep(self.RECONNECT_SECONDS)
             finally:
--- a/tests/platform/soak/database.py
+++ b/tests/platform/soak/database.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's database instances: groups with one log, their line protocol.
+"""Stand-in for the platform's database instances: replicated groups and their line protocol.
 
-Every commit's request id is kept in the log, so that the soak can tell lost, doubled and refused
-writes apart; a read tells how much of the log it ran on.
+The log keeps the request id of each commit, so that the soak can detect lost, duplicated and
+refused writes. Each read returns the log number up to which it saw the log.
 """
 
 import asyncio
@@ -9,11 +9,11 @@
 import random
 import time
 
-TICK_SECONDS = 0.004
+REPLICATION_INTERVAL_SECONDS = 0.004
 PROMOTE_SECONDS = 0.2
 DEMOTE_SECONDS = 1.0
-WORK_SECONDS = 0.003
-SLOW_SECONDS = (0.02, 0.12)
+STATEMENT_SECONDS = 0.003
+SLOW_STATEMENT_SECONDS = (0.02, 0.12)
 SYNC_POLL_SECONDS = 0.003
 
 
@@ -22,24 +22,24 @@
 
 
 class Instance:
-    """One instance: its log, its role, its connections."""
+    """A database instance with its log, role and connections."""
 
     def __init__(self, group, name, host, port):
         self.group, self.name, self.host, self.port = group, name, host, port
-        self.log = []          # of (number, request id, thing, value)
-        self.received_at = []  # one instant an entry
+        self.log = []          # of (number, request id, key, value)
+        self.received_at = []  # time.monotonic() at which each entry arrived
         self.primary = False
         self.term = 1
         self.fence = 0
-        self.born = int(time.time() * 1000)  # milliseconds
+        self.born = int(time.time() * 1000)  # start of the incarnation, in Unix milliseconds
         self.alive = False
         self.state = "ready"
         self.lag = 0.005
         self.server = None
-        self.connections = set()  # its sessions
+        self.connections = set()  # open sessions
         self.promoting = False
-        self.on_work = None    # called with each request of callers that arrives, and its id
-        self.on_break = None   # called with the id of each request that the instance breaks off
+        self.on_request = None  # called with the instance and the id of each callers' request
+        self.on_abort = None    # called with the id of each request that the instance aborts
 
     def position(self):
         return "%d.%d" % (self.term, len(self.log))
@@ -53,9 +53,9 @@
             count -= 1
         return count
 
-    def read(self, thing):
+    def read(self, key):
         for number, _, written, value in reversed(self.log[:self.applied()]):
-            if written == thing:
+            if written == key:
                 return value
         return "0"
 
@@ -68,8 +68,8 @@
         self.fence = 0
         self.alive = True
 
-    async def start_anew(self):
-        """Starts under the same name with nothing of before."""
+    async def start_empty(self):
+        """Starts a new incarnation under the same name, with an empty log."""
         self.log, self.received_at = [], []
         self.primary, self.term = False, 1
         self.born = max(self.born + 1, int(time.time() * 1000))
@@ -79,7 +79,7 @@
         self.alive = False
         self.server.close()
         for session in list(self.connections):
-            session.break_off()
+            session.abort()
 
     async def serve(self, reader, writer):
         session = Session(self, reader, writer)
@@ -94,22 +94,22 @@
 
 
 class Session:
-    """One connection to an instance."""
+    """A session on one connection to an instance."""
 
     def __init__(self, instance, reader, writer):
         self.instance, self.reader, self.writer = instance, reader, writer
         self.values, self.prepared = {}, {}
-        self.open = self.failed = self.read_only = False
+        self.in_transaction = self.failed = self.read_only = False
         self.writes = []
-        self.request_id = None  # of the request at work
+        self.request_id = None  # of the request that runs
 
-    def break_off(self):
-        if self.request_id and self.instance.on_break:
-            self.instance.on_break(self.request_id)
+    def abort(self):
+        if self.request_id and self.instance.on_abort:
+            self.instance.on_abort(self.request_id)
         self.writer.transport.abort()
 
     def state(self):
-        return ("E" if self.failed else "T") if self.open else "I"
+        return ("E" if self.failed else "T") if self.in_transaction else "I"
 
     def send(self, text):
         self.writer.write((text + "\r\n").encode())
@@ -122,10 +122,10 @@
         if first[1] != self.instance.group.service or expected != self.instance.name:
             self.send("ERROR MOVED " + self.instance.name)
             return
-        if len(self.instance.connections) > self.instance.group.most_connections:
+        if len(self.instance.connections) > self.instance.group.max_connections:
             self.send("ERROR MAXCONN " + self.instance.name)
             return
-        await asyncio.sleep(WORK_SECONDS)
+        await asyncio.sleep(STATEMENT_SECONDS)
         self.send("READY I " + self.instance.position())
         while True:
             line = (await self.reader.readline()).decode().rstrip("\r\n")
@@ -141,9 +141,9 @@
 
     async def answer(self, request_id, text):
         try:
-            rows = await self.run_text(request_id, text)
+            rows = await self.run_statement(request_id, text)
         except Refusal as refusal:
-            if self.open:
+            if self.in_transaction:
                 self.failed = True
             self.send("ERROR %s %s" % (refusal.code, self.instance.name))
         else:
@@ -152,15 +152,15 @@
             self.send("COMPLETE " + (signature(request_id, rows) if rows is not None else "-"))
         self.send("READY %s %s" % (self.state(), self.instance.position()))
 
-    async def run_text(self, request_id, text):
+    async def run_statement(self, request_id, text):
         required = None
         if text.startswith("SYNCTO "):
             _, required, text = text.split(" ", 2)
         word, _, rest = text.partition(" ")
         if word in ("STATUS", "PAUSE", "RESUME", "STEPDOWN"):
             return self.control(word, rest)
-        if self.instance.on_work:
-            self.instance.on_work(self.instance, request_id)
+        if self.instance.on_request:
+            self.instance.on_request(self.instance, request_id)
         if word == "RESET":
             self.values, self.prepared = {}, {}
             return None
@@ -176,7 +176,7 @@
             self.prepared.pop(rest, None)
             return None
         if word == "ROLLBACK":
-            self.end()
+            self.end_transaction()
             return None
         if self.failed:
             raise Refusal("MALFORMED")
@@ -186,16 +186,16 @@
             self.read_only = rest == "READ"
             if not self.read_only and not self.instance.primary:
                 raise Refusal("READONLY")
-            self.open = True
+            self.in_transaction = True
             return None
-        await asyncio.sleep(self.instance.group.work_seconds())
+        await asyncio.sleep(self.instance.group.draw_statement_seconds())
         if word == "EXECUTE":
             name, _, rest = rest.partition(" ")
             if name not in self.prepared:
                 raise Refusal("UNKNOWN")
             word = self.prepared[name][0]
         if word == "READ":
-            if self.instance.group.planted == "pinned":
+            if self.instance.group.planted_fault == "pinned":
                 self.values["who"] = "somebody"
             values = ",".join("%s=%s" % pair for pair in sorted(self.values.items()))
             return ["%s;%s;%d" % (self.instance.read(rest), values, self.instance.applied())]
@@ -207,43 +207,43 @@
 
     def check_position(self, required):
         term, number = (int(part) for part in required.split("."))
-        lacks = self.instance.applied() < number or self.instance.term < term
-        if lacks and self.instance.group.planted != "stale":
+        is_behind = self.instance.applied() < number or self.instance.term < term
+        if is_behind and self.instance.group.planted_fault != "stale":
             raise Refusal("LAGGING")
 
-    def end(self):
-        self.open = self.failed = self.read_only = False
+    def end_transaction(self):
+        self.in_transaction = self.failed = self.read_only = False
         self.writes = []
 
     async def put(self, request_id, rest):
         if not self.instance.primary or self.read_only:
             raise Refusal("READONLY")
-        thing, _, value = rest.partition(" ")
-        self.writes.append((request_id, thing, value))
-        if not self.open:
-            await self.store()
+        key, _, value = rest.partition(" ")
+        self.writes.append((request_id, key, value))
+        if not self.in_transaction:
+            await self.write_log()
         return []
 
     async def commit(self, request_id):
         wrote = bool(self.writes)
         if wrote:
-            await self.store()
-        self.end()
+            await self.write_log()
+        self.end_transaction()
         return []
 
-    async def store(self):
+    async def write_log(self):
         instance = self.instance
         if not instance.primary:
             self.writes = []
             raise Refusal("READONLY")
-        for request_id, thing, value in self.writes:
-            instance.append((len(instance.log) + 1, request_id, thing, value))
+        for request_id, key, value in self.writes:
+            instance.append((len(instance.log) + 1, request_id, key, value))
         end, term, self.writes = len(instance.log), instance.term, []
-        while not instance.group.held_elsewhere(instance, end) and \
-                instance.group.planted != "lost":
+        while not instance.group.is_replicated(instance, end) and \
+                instance.group.planted_fault != "lost":
             await asyncio.sleep(SYNC_POLL_SECONDS)
             if not instance.alive or not instance.primary or instance.term != term:
-                self.break_off()  # nobody knows whether it is kept
+                self.abort()  # the outcome of the commit is unknown
                 raise ConnectionError
 
     def control(self, word, rest):
@@ -267,25 +267,25 @@
 
 
 class Group:
-    """The instances of one service, and what passes between them."""
+    """The instances of one service, with replication and promotion between them."""
 
-    def __init__(self, service, most_connections, planted=""):
-        self.service, self.most_connections = service, most_connections
-        self.planted = planted  # a fault of the stand-in that the soak must notice
+    def __init__(self, service, max_connections, planted_fault=""):
+        self.service, self.max_connections = service, max_connections
+        self.planted_fault = planted_fault  # a fault of the stand-in that the soak must detect
         self.instances = []
-        self.slow_share, self.random = 0.0, random.Random(service)  # of the statements
+        self.slow_share, self.random = 0.0, random.Random(service)  # share of slow statements
         self.on_change = lambda: None
 
-    def work_seconds(self):
+    def draw_statement_seconds(self):
         if self.random.random() < self.slow_share:
-            return self.random.uniform(*SLOW_SECONDS)
-        return WORK_SECONDS
+            return self.random.uniform(*SLOW_STATEMENT_SECONDS)
+        return STATEMENT_SECONDS
 
-    def leader(self):
-        leaders = [each for each in self.instances if each.primary and each.alive]
-        return max(leaders, key=lambda each: each.term, default=None)
+    def newest_primary(self):
+        primaries = [each for each in self.instances if each.primary and each.alive]
+        return max(primaries, key=lambda each: each.term, default=None)
 
-    def held_elsewhere(self, primary, end):
+    def is_replicated(self, primary, end):
         return any(each is not primary and len(each.log) >= end and each.log[end - 1] ==
                    primary.log[end - 1] for each in self.instances)
 
@@ -296,10 +296,10 @@
         if chosen.primary or chosen.promoting:
             return True
         chosen.promoting = True
-        asyncio.ensure_future(self.lead(chosen))
+        asyncio.ensure_future(self.complete_promotion(chosen))
         return True
 
-    async def lead(self, chosen):
+    async def complete_promotion(self, chosen):
         await asyncio.sleep(PROMOTE_SECONDS)
         chosen.promoting = False
         if not chosen.alive:
@@ -314,31 +314,32 @@
         self.on_change()
 
     def number_of(self, request_id):
-        """The number of a request's commit in the newest primary's log, 0 if it is not there."""
-        leader = self.leader()
-        entries = reversed(leader.log) if leader else []
+        """Returns the log number of a request's commit on the newest primary, 0 if it has none."""
+        newest_primary = self.newest_primary()
+        entries = reversed(newest_primary.log) if newest_primary else []
         return next((entry[0] for entry in entries if entry[1] == request_id), 0)
 
     def replicate(self):
-        leader = self.leader()
-        if leader is None:
+        newest_primary = self.newest_primary()
+        if newest_primary is None:
             return
         for each in self.instances:
-            follows = each is not leader and each.alive and not each.primary
-            if not follows or each.fence > leader.term:
+            follows = each is not newest_primary and each.alive and not each.primary
+            if not follows or each.fence > newest_primary.term:
                 continue
             common = 0
-            while common < min(len(each.log), len(leader.log)) and \
-                    each.log[common] == leader.log[common]:
+            while common < min(len(each.log), len(newest_primary.log)) and \
+                    each.log[common] == newest_primary.log[common]:
                 common += 1
             if common < len(each.log):
                 del each.log[common:]
                 del each.received_at[common:]
-            for entry in leader.log[common:]:
+            for entry in newest_primary.log[common:]:
                 each.append(entry)
-            each.term = leader.term
+            each.term = newest_primary.term
 
     async def run(self):
         while True:
             self.replicate()
-            await asyncio.sleep(0.5 if self.planted == "lost" else TICK_SECONDS)
+            await asyncio.sleep(0.5 if self.planted_fault == "lost"
+                                else REPLICATION_INTERVAL_SECONDS)
--- a/tests/platform/soak/link.py
+++ b/tests/platform/soak/link.py
@@ -1,4 +1,4 @@
-"""A loopback proxy on the way to one party: passes, delays, silences one way or both, resets."""
+"""A loopback proxy before one server: forwards, delays, blocks one or both directions, resets."""
 
 import asyncio
 
@@ -6,14 +6,14 @@
 
 
 class Link:
-    """Listens on an address of its own and passes on to a target."""
+    """Listens on its own address and forwards connections to a target."""
 
     def __init__(self, host, port, target_host, target_port):
         self.host, self.port = host, port
         self.target = (target_host, target_port)
         self.delay = 0.0
-        self.silent_in = False   # nothing reaches the target
-        self.silent_out = False  # nothing comes back
+        self.blocked_in = False   # no data reaches the target
+        self.blocked_out = False  # no data returns from the target
         self.writers = set()
 
     async def start(self):
@@ -24,23 +24,23 @@
             writer.transport.abort()
 
     def heal(self):
-        self.delay, self.silent_in, self.silent_out = 0.0, False, False
+        self.delay, self.blocked_in, self.blocked_out = 0.0, False, False
 
     async def serve(self, reader, writer):
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self.target)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        self.writers |= {writer, far_writer}
-        await asyncio.gather(self.pump(reader, far_writer, "silent_in"),
-                             self.pump(far_reader, writer, "silent_out"))
-        self.writers -= {writer, far_writer}
+        self.writers |= {writer, target_writer}
+        await asyncio.gather(self.pump(reader, target_writer, "blocked_in"),
+                             self.pump(target_reader, writer, "blocked_out"))
+        self.writers -= {writer, target_writer}
 
-    async def pump(self, reader, writer, silenced):
+    async def pump(self, reader, writer, blocked):
         try:
             while data := await reader.read(CHUNK):
-                while getattr(self, silenced):
+                while getattr(self, blocked):
                     await asyncio.sleep(0.02)
                 if self.delay:
                     await asyncio.sleep(self.delay)
--- a/tests/platform/soak/planned.py
+++ b/tests/platform/soak/planned.py
@@ -1,15 +1,15 @@
-"""Planned work of the soak: rolls of stops, signals, configurations, replacements of primaries.
+"""Planned work: rolling restarts, signals, new configurations, replacements of primaries.
 
-All of it overlaps, and nothing of it is a fault: no caller may lose a request.
+The operations overlap. None of them is a fault, so no caller may lose a request.
 """
 
 import asyncio
 import signal
 import time
 
-END_SECONDS = 30.0      # within which a stopped daemon must have ended, and a new one listen
-BUSY_SECONDS = 1.0      # for which a busy stop waits for a request at work
-REPLACE_SECONDS = 12.0  # for which a draining primary waits for its successor
+EXIT_TIMEOUT_SECONDS = 30.0  # for a stopped daemon to end, and for a new one to listen
+BUSY_STOP_TIMEOUT_SECONDS = 1.0  # for which a busy stop waits for a running request
+REPLACEMENT_TIMEOUT_SECONDS = 12.0  # for a draining primary to be replaced
 DRAIN_SECONDS = 4.0
 
 
@@ -18,33 +18,34 @@
         self.soak, self.random = soak, soak.random
         self.until = 0.0
 
-    async def play(self, until):
+    async def run(self, until):
         self.until = until
-        rolls = asyncio.ensure_future(self.roll_on())
-        works = [self.reload, self.configure, self.configure_in_succession, self.replace_primary,
-                 self.stop_one]
+        rolls = asyncio.ensure_future(self.run_rolling_restarts())
+        actions = [self.reload, self.configure, self.configure_in_succession, self.replace_primary,
+                   self.stop_one]
         running = []
         while time.monotonic() < until:
-            running.append(asyncio.ensure_future(self.random.choice(works)()))
+            running.append(asyncio.ensure_future(self.random.choice(actions)()))
             await asyncio.sleep(self.random.uniform(0.5, 2.0))
         await asyncio.gather(rolls, *running)
 
-    async def roll_on(self):
+    async def run_rolling_restarts(self):
         while time.monotonic() < self.until:
-            await self.roll()
+            await self.rolling_restart()
             await asyncio.sleep(self.random.uniform(0.0, 1.0))
 
-    async def roll(self):
-        """Stops all daemons in turn, some at a time, and starts each again when it has ended."""
-        at_once, gap = self.random.choice([1, 2, 3]), self.random.uniform(0.9, 1.4)
+    async def rolling_restart(self):
+        """Stops all daemons in batches and starts each of them again after it has ended."""
+        batch_size, interval = self.random.choice([1, 2, 3]), self.random.uniform(0.9, 1.4)
         busy = self.random.random() < 0.5
-        self.soak.tell("roll of %d each %.2f s%s" % (at_once, gap, ", busy" if busy else ""))
-        waiting = self.random.sample(self.soak.daemons, len(self.soak.daemons))
+        self.soak.record_event("roll of %d each %.2f s%s" % (batch_size, interval,
+                                                             ", busy" if busy else ""))
+        remaining = self.random.sample(self.soak.daemons, len(self.soak.daemons))
         stops = []
-        while waiting and time.monotonic() < self.until:
-            batch, waiting = waiting[:at_once], waiting[at_once:]
+        while remaining and time.monotonic() < self.until:
+            batch, remaining = remaining[:batch_size], remaining[batch_size:]
             stops += [asyncio.ensure_future(self.stop(daemon, busy)) for daemon in batch]
-            await asyncio.sleep(gap)
+            await asyncio.sleep(interval)
         await asyncio.gather(*stops)
 
     async def stop_one(self):
@@ -52,22 +53,22 @@
 
     async def stop(self, daemon, busy):
         while sum(each.stopped_at is None for each in self.soak.daemons) < 2:
-            await asyncio.sleep(0.02)  # one goes on serving
+            await asyncio.sleep(0.02)  # at least one daemon keeps serving
         if busy:
-            limit = time.monotonic() + BUSY_SECONDS
-            while not self.soak.requests.at_work(daemon) and time.monotonic() < limit:
+            limit = time.monotonic() + BUSY_STOP_TIMEOUT_SECONDS
+            while not self.soak.requests.has_running_request(daemon) and time.monotonic() < limit:
                 await asyncio.sleep(0.001)
         if daemon.stopped_at is not None:
             return  # another stop is under way
         daemon.stopped_at = time.monotonic()
-        again = self.random.choice([None, None, signal.SIGHUP, signal.SIGTERM])
-        then = ", then " + again.name if again else ""
-        self.soak.tell("stop daemon-%d%s" % (daemon.number, then))
+        second_signal = self.random.choice([None, None, signal.SIGHUP, signal.SIGTERM])
+        then = ", then " + second_signal.name if second_signal else ""
+        self.soak.record_event("stop daemon-%d%s" % (daemon.number, then))
         daemon.send(signal.SIGKILL if self.soak.options.plant == "cut" else signal.SIGTERM)
-        if again:
+        if second_signal:
             await asyncio.sleep(self.random.uniform(0.02, 2.2))
-            daemon.send(again)
-        limit = time.monotonic() + END_SECONDS
+            daemon.send(second_signal)
+        limit = time.monotonic() + EXIT_TIMEOUT_SECONDS
         while daemon.process.poll() is None and time.monotonic() < limit:
             await asyncio.sleep(0.02)
         if daemon.process.poll() != 0:
@@ -81,8 +82,8 @@
         daemon.stopped_at = None
 
     async def wait_listening(self, daemon):
-        """Waits until a new process serves: a signal before it would end it at once."""
-        limit = time.monotonic() + END_SECONDS
+        """Waits until a new process listens: a signal before that would end it at once."""
+        limit = time.monotonic() + EXIT_TIMEOUT_SECONDS
         while time.monotonic() < limit:
             try:
                 _, writer = await asyncio.open_connection(daemon.host, 8785)
@@ -95,14 +96,14 @@
     async def reload(self):
         daemon = self.random.choice(self.soak.daemons)
         if daemon.stopped_at is None:
-            self.soak.tell("reload daemon-%d" % daemon.number)
+            self.soak.record_event("reload daemon-%d" % daemon.number)
             daemon.send(signal.SIGHUP)
 
     async def configure(self):
         self.soak.extra_routes = self.random.randrange(8)
         self.soak.latency_ms = self.random.randrange(200, 300)
         version = self.soak.next_version()
-        self.soak.tell("configuration %d" % version)
+        self.soak.record_event("configuration %d" % version)
         await self.soak.configure(version)
 
     async def configure_in_succession(self):
@@ -111,20 +112,20 @@
             await asyncio.sleep(self.random.uniform(0.02, 0.2))
 
     async def replace_primary(self):
-        """A primary drains, another takes over, and it comes back as a replica."""
+        """Drains a primary until another is promoted, then restarts it as a replica."""
         group = self.random.choice(list(self.soak.groups.values()))
-        old = group.leader()
+        old = group.newest_primary()
         if old is None or any(each.state != "ready" for each in group.instances):
-            return  # one at a time
-        self.soak.tell("%s drains" % old.name)
+            return  # one replacement at a time in a group
+        self.soak.record_event("%s drains" % old.name)
         began = time.monotonic()
         old.state = "draining"
         await self.soak.announce(group)
-        while old.primary and time.monotonic() < began + REPLACE_SECONDS:
+        while old.primary and time.monotonic() < began + REPLACEMENT_TIMEOUT_SECONDS:
             await asyncio.sleep(0.05)
         if not old.primary:
             await asyncio.sleep(max(0.0, began + DRAIN_SECONDS - time.monotonic()))
-            self.soak.tell("%s restarts" % old.name)
+            self.soak.record_event("%s restarts" % old.name)
             await self.soak.store.remove("servers", old.name)
             await old.crash()
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
--- a/tests/platform/soak/short.py
+++ b/tests/platform/soak/short.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Short soaks of planned work as test cases of a JUnit report.
+"""Short soaks of planned work and store restores as test cases of a JUnit report.
 
   short.py BINARY REPORT
 
-Seeds are the same in each run. A case fails if a rule was broken or the soak couldn't run; its text
-has the command, the seed in it, and all that the soak printed.
+Seeds are fixed. A case fails if a rule was broken or the soak could not run; the failure text has
+the command, with its seed, and the whole output of the soak.
 """
 
 import shutil
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 SOAK = Path(__file__).with_name("soak.py")
-MOST_SECONDS = 300  # of a run; one takes about 35
+RUN_TIMEOUT_SECONDS = 300  # of one run; a run takes about 35 s
 CASES = {
     "Soak: planned work leaves no request of a small deployment without an answer":
         "--planned --seed 1 --seconds 20 --grace_ms 6000",
@@ -27,17 +27,17 @@
 }
 
 
-def play(binary, options):
-    """What was wrong, nothing if all rules were kept."""
+def run_soak(binary, options):
+    """Runs a soak; returns its command and output if it fails, else an empty text."""
     logs = tempfile.mkdtemp(prefix="valvekeel-edge-soak-")
     command = [sys.executable, str(SOAK), binary, *options.split(), "--keep", logs]
     soak = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True,
                             errors="replace")
     try:
-        output, _ = soak.communicate(timeout=MOST_SECONDS)
+        output, _ = soak.communicate(timeout=RUN_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         soak.terminate()  # it ends its daemons
-        output = soak.communicate()[0] + "did not end within %d s\n" % MOST_SECONDS
+        output = soak.communicate()[0] + "did not end within %d s\n" % RUN_TIMEOUT_SECONDS
     if soak.returncode == 0:
         shutil.rmtree(logs)
         return ""
@@ -49,7 +49,7 @@
     suite = ElementTree.Element("testsuite", name="soak")
     for name, options in CASES.items():
         began = time.monotonic()
-        problem = play(binary, options)
+        problem = run_soak(binary, options)
         case = ElementTree.SubElement(suite, "testcase", name=name,
                                       time="%.1f" % (time.monotonic() - began))
         if problem:
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -1,14 +1,15 @@
 #!/usr/bin/env python3
-"""Fault soak: real valvekeel-edge processes before stand-ins, with faults from outside them.
+"""Fault soak: runs real valvekeel-edge processes against stand-ins and injects external faults.
 
   soak.py BINARY [--planned] [--seed N] [--seconds S] [--daemons N] [--keep FOLDER]
 
 Processes are stopped, paused, killed and restarted by signals; connections to instances and the
-store are delayed, reset and silenced by loopback proxies; instances crash; the store refuses, is
-silent, loses answers, forgets and returns from older copies. What callers and instances saw is held against the rules. Ends
-only processes that it started. With --planned there are no faults, but planned work alone, in
-series that overlap: then no request may end without an answer. Exits with 1 if a rule was broken or
-callers were not served again, with 2 if it could not run. Its addresses are fixed: one run only.
+store are delayed, reset and blocked by loopback proxies; instances crash; the store refuses
+requests, stops answering, loses answers, drops its watch history and is restored from older copies.
+The soak checks what callers and instances observed against the rules. It ends only processes that
+it started. With --planned there are no faults, only planned operations that overlap: then no
+request may end without an answer. Exits with 1 if a rule was broken or callers were not served
+again, with 2 if it could not run. Its addresses are fixed, so only one run at a time is possible.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 import time
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
-from callers import FRONT_PORT, Caller, History, Persistent  # noqa: E402
+from callers import CALLER_PORT, Caller, History, PersistentCaller  # noqa: E402
 from database import Group, Instance  # noqa: E402
 from link import Link  # noqa: E402
 from planned import Planned  # noqa: E402
@@ -53,19 +54,20 @@
 [evacuation]
 limit_ms = {evacuation_ms}
 """
-EVACUATION_SECONDS = 5  # from the store's acknowledgement until nothing reaches the zone
-CONTACT_SECONDS = 5     # for which what was disturbed may be late
+EVACUATION_SECONDS = 5  # from the store's acknowledgement until no request reaches the zone
+FAULT_RECOVERY_SECONDS = 5  # after a fault, in which evacuations may still be late
 ZONES = 3
 INSTANCES = 3
-CALM_SECONDS = 6
-LAST_SECONDS = 12
-SERVED_AT_END = 0.9
-PLANNED_CALM_SECONDS = 2
-SLOW_SHARE = 0.2  # of the statements beside planned work: some are under way at each stop
-RECOVER_SECONDS = 60  # within which callers of planned work are served, also on a slow machine
+FAULT_START_DELAY_SECONDS = 6
+FAULT_FREE_END_SECONDS = 12
+MIN_SERVED_SHARE = 0.9
+PLANNED_START_DELAY_SECONDS = 2
+SLOW_SHARE = 0.2  # of statements, so that some are in progress at each planned stop
+# After planned work, for callers to be served again; long enough for a slow machine.
+RECOVERY_TIMEOUT_SECONDS = 60
 WINDOW_SECONDS = 2
-ANEW_SECONDS = 8  # in which a group gets over an instance that lost what it held
-CLOSE_SECONDS = 0.3  # in which the stand-ins notice that the daemons are gone
+EMPTY_RESTART_SECONDS = 8  # for a group to recover from an instance that lost its data
+CLOSE_SECONDS = 0.3  # for the stand-ins to detect that the daemons have ended
 
 
 class Daemon:
@@ -79,12 +81,12 @@
                          evacuation_ms=0 if options.plant == "evacuated"
                          else EVACUATION_SECONDS * 1000)
         self.process = None
-        self.stopped_at = None  # instant of a planned stop's signal, until it serves again
+        self.stopped_at = None  # time of a planned stop's signal; None while it serves
         self.start("true")
 
     def start(self, first="false"):
         if self.process and self.process.poll() is None:
-            return  # another fault has started it already
+            return  # another fault has already started it
         with open(self.path, "w") as file:
             file.write(SETTINGS.format(first=first, **self.text))
         environment = dict(os.environ, VALVEKEEL_CONFIG=self.path)
@@ -105,15 +107,15 @@
         self.history = History()
         self.requests = Requests()
         self.extra_routes, self.latency_ms = 0, 250
-        self.groups, self.links, self.daemons, self.told = {}, {}, [], []
+        self.groups, self.links, self.daemons, self.event_log = {}, {}, [], []
         self.exits = 0
-        self.evacuated = {}  # when, by zone
-        self.anew_until = {}  # when a group has settled after an instance that started anew
-        self.troubled = {}   # until when somebody may be late, by fault or instance
+        self.evacuated = {}  # time of the evacuation by zone
+        self.empty_restart_until = {}  # by group: end of the recovery from an empty restart
+        self.fault_until = {}  # end of the fault by "daemon", "store" or name of the instance
         self.end = None
 
     async def start(self):
-        self.check_free()
+        self.check_addresses_free()
         self.store.promote = self.promote
         await asyncio.start_server(self.store.serve, "127.2.0.1", 8783)
         self.store_link = Link("127.2.0.2", 8783, "127.2.0.1", 8783)
@@ -125,10 +127,10 @@
             self.daemons.append(Daemon(self.options.binary, self.folder, number, self.options,
                                        "127.2.0.2:8783"))
 
-    def check_free(self):
-        """Raises OSError if a daemon of another run listens."""
+    def check_addresses_free(self):
+        """Raises OSError if a daemon of another run listens on an address of this run."""
         addresses = [("127.1.0.%d" % (number + 1), port) for number in range(self.options.daemons)
-                     for port in (FRONT_PORT, 8785, 8782)]
+                     for port in (CALLER_PORT, 8785, 8782)]
         for address in addresses:
             with socket.socket() as probe:
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -146,8 +148,8 @@
             instance = Instance(group, "%s-i%d" % (service, index), host, 8000)
             instance.primary = index == 0
             instance.zone = "zone-%d" % (index % ZONES)
-            instance.on_work = self.note_work
-            instance.on_break = self.requests.broken_off.add
+            instance.on_request = self.on_request
+            instance.on_abort = self.requests.aborted.add
             group.instances.append(instance)
             await instance.start()
             link = Link("127.4.%d.%d" % (number, index + 1), 8000, host, 8000)
@@ -177,47 +179,47 @@
                   for service in self.groups for short, (kind, staleness) in kinds.items()]
         routes += [dict(routes[0], name="extra%d" % number, host="%s.extra%d" % (
             routes[0]["service"], number)) for number in range(self.extra_routes)]
-        services = [{"name": service, "max_conns": group.most_connections, "sync_replicas": 1}
+        services = [{"name": service, "max_conns": group.max_connections, "sync_replicas": 1}
                     for service, group in self.groups.items()]
         await self.store.put("config", "main", {"version": version, "routes": routes,
                                                 "services": services,
                                                 "limits": {"tx_idle_ms": 2000}})
 
-    def note_work(self, instance, request_id):
-        """Notes a request that arrives, and holds it against the evacuations."""
-        self.requests.reach(request_id, instance)
+    def on_request(self, instance, request_id):
+        """Records a request that reaches an instance and checks it against the evacuations."""
+        self.requests.on_reached(request_id, instance)
         now = time.monotonic()
         began = self.evacuated.get(instance.zone)
         if began is None or now <= began + EVACUATION_SECONDS:
             return
-        excused = [self.troubled.get(each, 0) + CONTACT_SECONDS
+        exempt_until = [self.fault_until.get(each, 0) + FAULT_RECOVERY_SECONDS
                    for each in ("daemon", "store", instance.name)]
-        if now > max(excused):
+        if now > max(exempt_until):
             self.history.violations.append("EVAC: %s of %s after %.2f s" % (
                 instance.name, instance.zone, now - began))
 
     async def promote(self, service, name):
         return await self.groups[service].promote(name)
 
-    def tell(self, text):
-        self.told.append("%7.2f s: %s" % (time.monotonic() - self.began, text))
+    def record_event(self, text):
+        self.event_log.append("%7.2f s: %s" % (time.monotonic() - self.began, text))
 
-    def length(self):
+    def draw_fault_seconds(self):
         return self.random.uniform(0.5, 5.0)
 
-    # Faults: each ends by itself.
+    # Faults. Each method ends its fault before it returns.
 
     async def kill(self):
         daemon = self.random.choice(self.daemons)
-        self.tell("kill daemon-%d" % daemon.number)
+        self.record_event("kill daemon-%d" % daemon.number)
         daemon.send(signal.SIGKILL)
         daemon.process.wait()
-        await asyncio.sleep(self.length() / 2)
+        await asyncio.sleep(self.draw_fault_seconds() / 2)
         daemon.start()
 
     async def kill_many(self):
         chosen = [each for each in self.daemons if self.random.random() < 0.6]
-        self.tell("kill daemons %s" % [each.number for each in chosen])
+        self.record_event("kill daemons %s" % [each.number for each in chosen])
         for daemon in chosen:
             daemon.send(signal.SIGKILL)
             daemon.process.wait()
@@ -227,7 +229,7 @@
 
     async def stop(self):
         daemon = self.random.choice(self.daemons)
-        self.tell("stop daemon-%d" % daemon.number)
+        self.record_event("stop daemon-%d" % daemon.number)
         daemon.send(signal.SIGTERM)
         while daemon.process.poll() is None:
             await asyncio.sleep(0.1)
@@ -238,49 +240,49 @@
 
     async def pause(self):
         daemon = self.random.choice(self.daemons)
-        self.tell("pause daemon-%d" % daemon.number)
+        self.record_event("pause daemon-%d" % daemon.number)
         daemon.send(signal.SIGSTOP)
-        await self.trouble("daemon", self.length())
+        await self.sustain_fault("daemon", self.draw_fault_seconds())
         daemon.send(signal.SIGCONT)
 
     async def reload(self):
         daemon = self.random.choice(self.daemons)
-        self.tell("reload daemon-%d" % daemon.number)
+        self.record_event("reload daemon-%d" % daemon.number)
         daemon.send(signal.SIGHUP)
 
     async def crash(self):
         group = self.random.choice(list(self.groups.values()))
         up = [each for each in group.instances if each.alive]
-        if len(up) < INSTANCES or time.monotonic() < self.anew_until.get(group, 0):
-            return  # one at a time: more may lose the only copies
-        instance = group.leader() if self.random.random() < 0.7 else self.random.choice(up)
+        if len(up) < INSTANCES or time.monotonic() < self.empty_restart_until.get(group, 0):
+            return  # one instance at a time: more may lose the only copies of commits
+        instance = group.newest_primary() if self.random.random() < 0.7 else self.random.choice(up)
         if instance is None:
             return
-        self.tell("crash %s" % instance.name)
+        self.record_event("crash %s" % instance.name)
         await instance.crash()
-        await asyncio.sleep(2 + self.length())
-        newest = group.leader()
+        await asyncio.sleep(2 + self.draw_fault_seconds())
+        newest = group.newest_primary()
         if newest is not None:
             instance.primary = False
         await instance.start()
         await self.announce(group)
 
-    async def restart_anew(self):
+    async def restart_empty(self):
         group = self.random.choice(list(self.groups.values()))
         up = [each for each in group.instances if each.alive]
-        if len(up) < INSTANCES or time.monotonic() < self.anew_until.get(group, 0):
+        if len(up) < INSTANCES or time.monotonic() < self.empty_restart_until.get(group, 0):
             return
-        self.anew_until[group] = time.monotonic() + ANEW_SECONDS
+        self.empty_restart_until[group] = time.monotonic() + EMPTY_RESTART_SECONDS
         instance = self.random.choice(up)
-        self.tell("%s starts anew" % instance.name)
+        self.record_event("%s starts anew" % instance.name)
         await instance.crash()
         await asyncio.sleep(self.random.uniform(0.05, 1.5))
-        await instance.start_anew()
+        await instance.start_empty()
         await self.announce(group)
 
-    async def bad_entries(self):
-        """Entries of another writer, one of them over an instance's own."""
-        self.tell("entries of another writer")
+    async def write_foreign_entries(self):
+        """Writes invalid entries as a foreign writer, one of them over an instance's entry."""
+        self.record_event("entries of another writer")
         group = self.random.choice(list(self.groups.values()))
         bad = [{}, {"service": 7}, "text", {"service": "nobody", "addr": "here", "state": "odd"},
                {"service": group.service, "addr": "127.3.0.1:8000", "state": "resting"}]
@@ -289,7 +291,7 @@
             await self.store.put("servers", name, spec)
         await self.store.put("servers", self.random.choice(group.instances).name,
                              self.random.choice(bad))
-        await asyncio.sleep(min(1.0, self.length()))
+        await asyncio.sleep(min(1.0, self.draw_fault_seconds()))
         await self.announce(group)
         for name in names:
             await self.store.remove("servers", name)
@@ -298,78 +300,78 @@
         name = self.random.choice(list(self.links))
         link = self.links[name]
         kind = self.random.choice(["delay", "silence", "no answers", "reset"])
-        self.tell("%s: %s" % (name, kind))
+        self.record_event("%s: %s" % (name, kind))
         link.delay = 0.2 if kind == "delay" else 0.0
-        link.silent_in = kind == "silence"
-        link.silent_out = kind in ("silence", "no answers")
+        link.blocked_in = kind == "silence"
+        link.blocked_out = kind in ("silence", "no answers")
         link.reset() if kind == "reset" else None
-        await self.trouble(name, self.length())
+        await self.sustain_fault(name, self.draw_fault_seconds())
         link.heal()
         link.reset()
 
     async def store_fault(self):
         kind = self.random.choice(["down", "silent", "lost", "slow", "compact", "cut"])
-        self.tell("store: " + kind)
+        self.record_event("store: " + kind)
         self.store.down = kind == "down"
-        self.store.silent = kind == "silent"
-        self.store.lose_writes = 0.4 if kind == "lost" else 0.0
+        self.store.unresponsive = kind == "silent"
+        self.store.lost_write_share = 0.4 if kind == "lost" else 0.0
         self.store.delay = 0.3 if kind == "slow" else 0.002
-        self.store_link.silent_in = self.store_link.silent_out = kind == "cut"
+        self.store_link.blocked_in = self.store_link.blocked_out = kind == "cut"
         if kind == "compact":
             await self.configure(self.next_version())
             await self.store.compact()
-        await self.trouble("store", self.length())
-        self.store.down = self.store.silent = False
-        self.store.lose_writes, self.store.delay = 0.0, 0.002
+        await self.sustain_fault("store", self.draw_fault_seconds())
+        self.store.down = self.store.unresponsive = False
+        self.store.lost_write_share, self.store.delay = 0.0, 0.002
         self.store_link.heal()
         self.store_link.reset()
 
-    async def store_return(self):
-        """The store is away for a moment and comes back from a copy some seconds old."""
+    async def restore_store(self):
+        """Makes the store unavailable, then restores it from a copy that is some seconds old."""
         if self.random.random() < 0.6:
             await self.configure(self.next_version())
         if self.random.random() < 0.4:
             asyncio.ensure_future(self.crash())
         await asyncio.sleep(self.random.uniform(0, 1.5))
         age, away = self.random.uniform(0, 5), self.random.uniform(0.05, 3)
-        self.tell("store: away for %.1f s, returns from a copy %.1f s old" % (away, age))
-        how = self.random.choice(["down", "silent"])
+        self.record_event("store: away for %.1f s, returns from a copy %.1f s old" % (away, age))
+        how = self.random.choice(["down", "unresponsive"])
         setattr(self.store, how, True)
-        await self.trouble("store", away)
+        await self.sustain_fault("store", away)
         setattr(self.store, how, False)
         await self.store.restore(age + away)
-        if self.random.random() < 0.7:  # else connections that waited are silent for good
+        if self.random.random() < 0.7:  # otherwise requests in progress are never answered
             self.store_link.reset()
-        self.troubled["store"] = time.monotonic()
+        self.fault_until["store"] = time.monotonic()
         for _ in range(3):
             await asyncio.sleep(self.random.uniform(0, 3))
             await self.configure(self.next_version())
 
-    async def trouble(self, name, seconds):
-        """Waits for a fault's end, and notes until when it excuses who is late."""
-        self.troubled[name] = max(self.troubled.get(name, 0), time.monotonic() + seconds)
+    async def sustain_fault(self, name, seconds):
+        """Records the end of a fault, until which late evacuations are exempt, and waits for it."""
+        self.fault_until[name] = max(self.fault_until.get(name, 0), time.monotonic() + seconds)
         await asyncio.sleep(seconds)
 
     async def evacuate(self):
         zones = self.random.sample(["zone-%d" % number for number in range(ZONES)],
                                    self.random.choice([1, 1, 1, 2]))
         zones = [zone for zone in zones if zone not in self.evacuated]
-        self.tell("evacuate %s" % zones)
+        self.record_event("evacuate %s" % zones)
         for zone in zones:
             await self.store.put("evacuations", zone, {})
             self.evacuated[zone] = time.monotonic()
         await asyncio.sleep(self.random.uniform(1, 10))
         for zone in zones:
-            self.tell("take back %s" % zone)
+            self.record_event("take back %s" % zone)
             await self.store.remove("evacuations", zone)
             self.evacuated.pop(zone, None)
 
     async def lag(self):
         group = self.random.choice(list(self.groups.values()))
-        self.tell("replicas of %s lag" % group.service)
+        self.record_event("replicas of %s lag" % group.service)
         for instance in group.instances:
             instance.lag = self.random.uniform(0.2, 3.0)
-        await asyncio.sleep(self.length())
+        await asyncio.sleep(self.draw_fault_seconds())
         for instance in group.instances:
             instance.lag = 0.005
 
@@ -377,15 +379,15 @@
         self.version = getattr(self, "version", 1) + self.random.randrange(1, 4)
         return self.version
 
-    async def inject(self):
-        await asyncio.sleep(CALM_SECONDS)
+    async def inject_faults(self):
+        await asyncio.sleep(FAULT_START_DELAY_SECONDS)
         faults = [self.kill, self.kill_many, self.stop, self.pause, self.reload, self.crash,
                   self.crash, self.link_fault, self.link_fault, self.store_fault, self.lag,
-                  self.evacuate, self.evacuate, self.restart_anew, self.bad_entries]
+                  self.evacuate, self.evacuate, self.restart_empty, self.write_foreign_entries]
         if self.options.restores:
-            faults += 3 * [self.store_return]
-        running = [asyncio.ensure_future(self.store_return())] if self.options.restores else []
-        while time.monotonic() < self.end - LAST_SECONDS:
+            faults += 3 * [self.restore_store]
+        running = [asyncio.ensure_future(self.restore_store())] if self.options.restores else []
+        while time.monotonic() < self.end - FAULT_FREE_END_SECONDS:
             running.append(asyncio.ensure_future(self.random.choice(faults)()))
             await asyncio.sleep(self.random.uniform(0.8, 3.0))
         await asyncio.gather(*running)
@@ -396,48 +398,48 @@
         await asyncio.sleep(4)
         self.end = time.monotonic() + self.options.seconds
         asyncio.ensure_future(self.requests.watch_clock())
-        habit = Persistent if self.options.planned else Caller
-        callers = [habit(number, self.options.seed, self.daemons, group, kind, self.history,
-                         self.requests)
+        caller_type = PersistentCaller if self.options.planned else Caller
+        callers = [caller_type(number, self.options.seed, self.daemons, group, kind, self.history,
+                               self.requests)
                    for number, (group, kind) in enumerate(
                        (group, kind) for group in self.groups.values()
                        for kind in ("primary", "bounded", "own")
                        for _ in range(self.options.callers))]
         tasks = [asyncio.ensure_future(each.run(lambda: self.end)) for each in callers]
         if self.options.planned:
-            await self.play_planned()
+            await self.run_planned()
         else:
-            injector = asyncio.ensure_future(self.inject())
+            injector = asyncio.ensure_future(self.inject_faults())
             await asyncio.sleep(self.options.seconds - 4)
             await injector
-            done, failed = await self.count(4)
+            done, failed = await self.count_operations(4)
             self.check_served(done, failed)
         self.end = time.monotonic()
         await asyncio.gather(*tasks)
         self.check_logs()
         self.close()
-        # Stand-ins whose other side is gone are of no interest any more.
+        # Connection errors of the stand-ins no longer matter once the daemons have ended.
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
         await asyncio.sleep(CLOSE_SECONDS)
 
-    async def play_planned(self):
+    async def run_planned(self):
         until, self.end = self.end, float("inf")
-        await asyncio.sleep(PLANNED_CALM_SECONDS)
-        await Planned(self).play(until)
-        limit = time.monotonic() + RECOVER_SECONDS
-        done, failed = await self.count(WINDOW_SECONDS)
+        await asyncio.sleep(PLANNED_START_DELAY_SECONDS)
+        await Planned(self).run(until)
+        limit = time.monotonic() + RECOVERY_TIMEOUT_SECONDS
+        done, failed = await self.count_operations(WINDOW_SECONDS)
         while not self.served(done, failed) and time.monotonic() < limit:
-            done, failed = await self.count(WINDOW_SECONDS)
+            done, failed = await self.count_operations(WINDOW_SECONDS)
         self.check_served(done, failed)
 
-    async def count(self, seconds):
-        """Operations that were done and that failed in the next seconds."""
+    async def count_operations(self, seconds):
+        """Returns how many operations succeed and fail in the next seconds."""
         done, failed = self.history.done, self.history.failed
         await asyncio.sleep(seconds)
         return self.history.done - done, self.history.failed - failed
 
     def served(self, done, failed):
-        return done > 0 and done >= SERVED_AT_END * (done + failed)
+        return done > 0 and done >= MIN_SERVED_SHARE * (done + failed)
 
     def check_served(self, done, failed):
         if not self.served(done, failed):
@@ -445,14 +447,14 @@
                                            (done, failed))
 
     def check_logs(self):
-        """Holds the groups' logs against what callers were told."""
+        """Checks the groups' logs against the answers to callers, and the daemons' exits."""
         kept = {}
         for service, group in self.groups.items():
-            leader = group.leader()
-            if leader is None:
+            newest_primary = group.newest_primary()
+            if newest_primary is None:
                 self.history.violations.append("RECOVER: %s has no primary" % service)
                 continue
-            for _, request_id, _, _ in leader.log:
+            for _, request_id, _, _ in newest_primary.log:
                 kept[request_id] = kept.get(request_id, 0) + 1
         for request_id, count in kept.items():
             if count > 1:
@@ -492,7 +494,7 @@
                         help="the store returns from older copies, several times")
     parser.add_argument("--plant", default="",
                         choices=["", "stale", "lost", "pinned", "evacuated", "cut"],
-                        help="lets the stand-in break a rule: the soak must say so")
+                        help="makes the stand-in break a rule, which the soak must report")
     parser.add_argument("--keep", help="folder for settings and logs")
     parser.add_argument("--grace_ms", type=int, default=4000, help="stop_grace_ms")
     options = parser.parse_args()
@@ -510,13 +512,13 @@
     finally:
         soak.close()
     history = soak.history
-    for line in soak.told:
+    for line in soak.event_log:
         print(line)
     for line in history.violations[:60]:
         print("BROKEN " + line)
     print(soak.requests.summary())
     print("seed %d: %d faults, %d operations done, %d failed %s, %d promotions, %d broken; logs in %s"
-          % (options.seed, len(soak.told), history.done, history.failed, history.failures,
+          % (options.seed, len(soak.event_log), history.done, history.failed, history.failures,
              len(soak.store.tokens), len(history.violations), folder))
     return 1 if history.violations else 0
 
--- a/tests/platform/soak/store.py
+++ b/tests/platform/soak/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's metadata store and promotion service, with faults."""
+"""Stand-in for the platform's metadata store and promotion service, with faults."""
 
 import asyncio
 import json
@@ -6,47 +6,47 @@
 import time
 from urllib.parse import parse_qs, urlparse
 
-MOST_HISTORY = 400
-OLDEST_COPY_SECONDS = 8
-WRITTEN_AGAIN_SECONDS = 2  # within which operators and instances write what was lost once more
-OTHERS_KINDS = ("config", "servers", "evacuations")  # that daemons don't write
+MAX_EVENTS = 400
+MAX_COPY_AGE_SECONDS = 8
+MAX_REWRITE_DELAY_SECONDS = 2  # for operators and instances to repeat writes lost by a restore
+EXTERNAL_KINDS = ("config", "servers", "evacuations")  # not written by daemons
 
 
 class Store:
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.objects = {}  # by kind, by name
-        self.events = []   # of (revision, kind, gone, object)
+        self.events = []   # of (revision, kind, removed, object)
         self.revision = 0
-        self.era = 1       # rises with each return from an older copy
-        self.replaced = []  # of (instant, kind, name, object before or None, revision before)
-        self.to_write_again = {}  # specs by kind and name; None: it was removed
-        self.first_kept = 0
+        self.era = 1       # increases with each restore from an older copy
+        self.replaced = []  # of (time, kind, name, previous object or None, previous revision)
+        self.pending_rewrites = {}  # specs by kind and name, None for a removal
+        self.oldest_watchable_revision = 0
         self.changed = asyncio.Condition()
         self.down = False
-        self.silent = False
-        self.lose_writes = 0.0
+        self.unresponsive = False
+        self.lost_write_share = 0.0
         self.delay = 0.002
         self.promote = None        # coroutine function of service and id
-        self.tokens = []           # of (token, holder), as they came
+        self.tokens = []           # of (token, holder), in order of arrival
         self.violations = []
 
-    def note_replaced(self, kind, name):
+    def record_replaced(self, kind, name):
         now = time.monotonic()
         before = self.objects.get(kind, {}).get(name)
         self.replaced.append((now, kind, name, before, self.revision))
-        while self.replaced[0][0] < now - OLDEST_COPY_SECONDS:
+        while self.replaced[0][0] < now - MAX_COPY_AGE_SECONDS:
             del self.replaced[0]
-        self.to_write_again.pop((kind, name), None)
+        self.pending_rewrites.pop((kind, name), None)
 
     async def restore(self, seconds):
-        """Comes back from a copy of that age; revisions are given out a second time."""
+        """Restores a copy of that age; later writes reuse the revisions of the lost ones."""
         since = time.monotonic() - seconds
         while self.replaced and self.replaced[-1][0] > since:
             _, kind, name, before, revision = self.replaced.pop()
             now = self.objects[kind].get(name)
-            if kind in OTHERS_KINDS:
-                self.to_write_again.setdefault((kind, name), now and now["spec"])
+            if kind in EXTERNAL_KINDS:
+                self.pending_rewrites.setdefault((kind, name), now and now["spec"])
             if before:
                 self.objects[kind][name] = before
             else:
@@ -54,16 +54,16 @@
             self.revision = revision
         self.era += 1
         self.events = [event for event in self.events if event[0] <= self.revision]
-        for key in list(self.to_write_again):
-            asyncio.ensure_future(self.write_again(key))
+        for key in list(self.pending_rewrites):
+            asyncio.ensure_future(self.rewrite(key))
         async with self.changed:
             self.changed.notify_all()
 
-    async def write_again(self, key):
-        await asyncio.sleep(self.random.uniform(0, WRITTEN_AGAIN_SECONDS))
-        if key not in self.to_write_again:
-            return  # written anew meanwhile
-        spec = self.to_write_again.pop(key)
+    async def rewrite(self, key):
+        await asyncio.sleep(self.random.uniform(0, MAX_REWRITE_DELAY_SECONDS))
+        if key not in self.pending_rewrites:
+            return  # written again in the meantime
+        spec = self.pending_rewrites.pop(key)
         if spec is None:
             await self.remove(*key)
         else:
@@ -73,31 +73,31 @@
         old = self.objects.setdefault(kind, {}).get(name)
         if old and old["spec"] == spec:
             return old
-        self.note_replaced(kind, name)
+        self.record_replaced(kind, name)
         self.revision += 1
         made = old["meta"]["made"] if old else self.revision
         item = {"meta": {"name": name, "revision": self.revision, "made": made, "finalizers": [],
                          "deleting": False}, "spec": spec, "status": None}
         self.objects[kind][name] = item
-        await self.note(kind, False, item)
+        await self.add_event(kind, False, item)
         return item
 
     async def remove(self, kind, name):
         item = self.objects.get(kind, {}).get(name)
         if item:
-            self.note_replaced(kind, name)
+            self.record_replaced(kind, name)
             del self.objects[kind][name]
             self.revision += 1
-            await self.note(kind, True, item)
+            await self.add_event(kind, True, item)
 
-    async def note(self, kind, gone, item):
-        self.events.append((self.revision, kind, gone, item))
-        del self.events[:-MOST_HISTORY]
+    async def add_event(self, kind, removed, item):
+        self.events.append((self.revision, kind, removed, item))
+        del self.events[:-MAX_EVENTS]
         async with self.changed:
             self.changed.notify_all()
 
     async def compact(self):
-        self.first_kept = self.revision
+        self.oldest_watchable_revision = self.revision
         async with self.changed:
             self.changed.notify_all()
 
@@ -109,14 +109,14 @@
                 method, target, _ = lines[0].split(" ", 2)
                 headers = dict(line.lower().split(": ", 1) for line in lines[1:] if ": " in line)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                if self.silent:
+                if self.unresponsive:
                     await asyncio.sleep(3600)
                 await asyncio.sleep(self.delay)
                 if self.down:
                     status, answer = 503, {}
                 else:
                     status, answer = await self.handle(method, target, headers, body)
-                    if method != "GET" and self.random.random() < self.lose_writes:
+                    if method != "GET" and self.random.random() < self.lost_write_share:
                         await asyncio.sleep(3600)
                 text = json.dumps(answer).encode()
                 writer.write(b"HTTP/1.1 %d x\r\nContent-Type: application/json\r\n"
@@ -155,19 +155,19 @@
         return 200, await self.put(kind, name, content["spec"])
 
     async def watch(self, kind, after, wait):
-        async def found():
+        async def wait_for_event():
             async with self.changed:
                 while not [each for each in self.events if each[0] > after and each[1] == kind]:
-                    if not self.first_kept <= after <= self.revision:
+                    if not self.oldest_watchable_revision <= after <= self.revision:
                         return
                     await self.changed.wait()
         try:
-            await asyncio.wait_for(found(), wait)
+            await asyncio.wait_for(wait_for_event(), wait)
         except asyncio.TimeoutError:
             pass
-        if not self.first_kept <= after <= self.revision:
+        if not self.oldest_watchable_revision <= after <= self.revision:
             return 410, {}
-        events = [{"gone": gone, "object": item} for revision, each, gone, item in self.events
+        events = [{"gone": removed, "object": item} for revision, each, removed, item in self.events
                   if revision > after and each == kind]
         return 200, {"events": events, "at": self.revision}
 
