--- a/tests/platform/soak/unanswered.py
+++ b/tests/platform/soak/unanswered.py
@@ -89,7 +89,7 @@
         return request.request_id in self.aborted or request.open_for >= TIMEOUT_SECONDS
 
     def violating(self):
-        """Returns the violating requests. Valid at the end: some run after their caller has left."""
+        """Returns the violating requests; final only at the end, as requests may run late."""
         return [each for each in self.unanswered if not self.is_exempt(each) and
                 (each.request_id in self.reached or each.open_for > SLACK_SECONDS)]
 
