--- a/apps/standin_database.cc
+++ b/apps/standin_database.cc
@@ -1,6 +1,6 @@
-// standin-database: one modelled database group, each instance on a port of its own.
+// standin-database: simulates one database group for tests, with a separate port for each instance.
 //
-// A control port takes faults: POST /instances/N/{isolate,heal,stop,start,lag?ms=M}; GET /status.
+// Control port. Faults: POST /instances/N/{isolate,heal,stop,start,lag?ms=M}. State: GET /status.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/apps/standin_platform.cc
+++ b/apps/standin_platform.cc
@@ -1,4 +1,4 @@
-// standin-platform: the platform's object API with versions and watches, and a port for faults.
+// standin-platform: simulates the platform's object API for tests, with versions and watches.
 //
 // Objects: GET/PUT/DELETE /apis/valvekeel/v1/KIND[/NAME], GET ...?watch=true&resourceVersion=N.
 // Faults: POST /control/fault?mode={none,down,slow,lose_answers}&delay_ms=N, POST /control/compact.
@@ -33,9 +33,9 @@
 using valvekeel::standin::ObjectError;
 using valvekeel::standin::ObjectStore;
 
-constexpr std::size_t kHistory = 5000;
+constexpr std::size_t kMaxHistoryEvents = 5000;
 constexpr int kWatchPollMs = 500;
-constexpr std::size_t kThreads = 128;
+constexpr std::size_t kServerThreads = 128;
 constexpr int kServiceUnavailable = 503;
 constexpr int kTooManyRequests = 429;
 constexpr int kGatewayTimeout = 504;
@@ -47,11 +47,11 @@
 enum class Fault { kNone, kDown, kSlow, kLoseAnswers };
 
 struct PlatformState {
-  ObjectStore store{kHistory};
+  ObjectStore store{kMaxHistoryEvents};
   std::atomic<Fault> fault{Fault::kNone};
   std::atomic<int> delay_ms{0};
   std::atomic<int> watches{0};
-  std::atomic<int> most_watches{0};
+  std::atomic<int> max_watches{0};
   std::atomic<std::uint64_t> requests{0};
   std::atomic<bool> stopping{false};
 };
@@ -61,7 +61,8 @@
   response.set_content(json{{"code", error.status}, {"message", error.reason}}.dump(), kJson);
 }
 
-/// @return false if the fault in force answers the request.
+/// Counts the request and applies the injected fault.
+/// @return false if the fault has already answered the request.
 bool Admit(PlatformState& state, httplib::Response& response) {
   ++state.requests;
   if (state.fault == Fault::kSlow) {
@@ -74,7 +75,7 @@
   return true;
 }
 
-/// Replaces the answer of a change that has taken effect, as if it were lost on the way.
+/// If the fault is "lose_answers", replaces the answer to an applied change by a gateway timeout.
 void MaybeLoseAnswer(PlatformState& state, httplib::Response& response) {
   if (state.fault == Fault::kLoseAnswers) {
     SendError(response, {kGatewayTimeout, "the answer was lost"});
@@ -83,8 +84,8 @@
 
 std::uint64_t VersionParameter(const httplib::Request& request) {
   std::uint64_t version = 0;
-  const bool read = absl::SimpleAtoi(request.get_param_value("resourceVersion"), &version);
-  return read ? version : 0;
+  const bool parsed = absl::SimpleAtoi(request.get_param_value("resourceVersion"), &version);
+  return parsed ? version : 0;
 }
 
 void Watch(PlatformState& state, const httplib::Request& request, httplib::Response& response) {
@@ -94,7 +95,7 @@
     return;
   }
   ++state.watches;
-  state.most_watches = std::max(state.most_watches.load(), state.watches.load());
+  state.max_watches = std::max(state.max_watches.load(), state.watches.load());
   auto version = std::make_shared<std::uint64_t>(VersionParameter(request));
   response.set_chunked_content_provider(
       kJson,
@@ -209,7 +210,7 @@
   });
   server.Get("/control/status", [&](const httplib::Request&, httplib::Response& response) {
     response.set_content(json{{"watches", state.watches.load()},
-                              {"most_watches", state.most_watches.load()},
+                              {"most_watches", state.max_watches.load()},
                               {"requests", state.requests.load()},
                               {"version", state.store.Version()}}
                              .dump(),
@@ -225,7 +226,7 @@
   valvekeel::runtime::StartLogging("standin-platform", valvekeel::runtime::LogLevel::kInfo);
   PlatformState state;
   httplib::Server server;
-  server.new_task_queue = [] { return new httplib::ThreadPool(kThreads); };
+  server.new_task_queue = [] { return new httplib::ThreadPool(kServerThreads); };
   RouteObjects(server, state);
   RouteControl(server, state);
   const std::string host = absl::GetFlag(FLAGS_host);
--- a/apps/valvekeel.cc
+++ b/apps/valvekeel.cc
@@ -1,11 +1,11 @@
 // valvekeel: the operators' command line.
 //
-//   valvekeel check HISTORY     holds a history against what must always hold
-//   valvekeel report HISTORY    prints the figures of a history
+//   valvekeel check HISTORY     checks a history for violations of the consistency rules
+//   valvekeel report HISTORY    prints the statistics of a history
 //   valvekeel status HOST:PORT  prints the state of a daemon
-//   valvekeel replay-waiting TRACE  plays load through the decisions on waiting work
-//   valvekeel explain REQUEST LOG...  accounts for one request from the daemons' logs
-//   valvekeel --summary explain LOG... sums up the daemons' logs
+//   valvekeel replay-waiting TRACE  replays a load trace through the queueing decisions
+//   valvekeel explain REQUEST LOG...  explains the course of one request from the daemons' logs
+//   valvekeel --summary explain LOG...  summarizes the daemons' logs
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -60,8 +60,8 @@
       {"status", valvekeel::operator_tools::RunStatus},
       {"replay-waiting", valvekeel::operator_tools::RunReplayWaiting},
   };
-  const bool explains = words.size() > 2 && std::string(words[1]) == "explain";
-  if (explains && absl::GetFlag(FLAGS_summary)) {
+  const bool is_explain = words.size() > 2 && std::string(words[1]) == "explain";
+  if (is_explain && absl::GetFlag(FLAGS_summary)) {
     const int window = absl::GetFlag(FLAGS_window_s);
     if (window < 1) {
       std::cerr << "--window_s is at least 1\n";
@@ -70,13 +70,13 @@
     return valvekeel::operator_tools::RunSummary({words.begin() + 2, words.end()},
                                                  std::chrono::seconds(window), format);
   }
-  constexpr std::size_t kLeastExplainWords = 4;
-  if (words.size() >= kLeastExplainWords && std::string(words[1]) == "explain") {
+  constexpr std::size_t kMinExplainWords = 4;
+  if (words.size() >= kMinExplainWords && std::string(words[1]) == "explain") {
     return valvekeel::operator_tools::RunExplain(words[2], {words.begin() + 3, words.end()},
                                                  format);
   }
-  constexpr std::size_t kWords = 3;
-  const auto command = words.size() == kWords ? commands.find(words[1]) : commands.end();
+  constexpr std::size_t kCommandWords = 3;
+  const auto command = words.size() == kCommandWords ? commands.find(words[1]) : commands.end();
   if (command == commands.end()) {
     std::cerr << kUsage;
     return kUsageError;
--- a/apps/valvekeel_load.cc
+++ b/apps/valvekeel_load.cc
@@ -1,4 +1,4 @@
-// valvekeel-load: concurrent callers through libpq; records a history and prints its figures.
+// valvekeel-load: runs concurrent callers through libpq, records a history, prints statistics.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
--- a/apps/valvekeel_proxysim.cc
+++ b/apps/valvekeel_proxysim.cc
@@ -1,7 +1,7 @@
-// valvekeel-proxysim: random faulty days for the proxy's decision code, on simulated time.
+// valvekeel-proxysim: runs the proxy's decision code in random fault scenarios on simulated time.
 //
-//   valvekeel-proxysim --seeds=1000           days of seeds 1 to 1000; prints those with violations
-//   valvekeel-proxysim --first=77 --seeds=1 --print_log   one day with its daemons' log lines
+//   valvekeel-proxysim --seeds=1000           runs seeds 1 to 1000; prints those with violations
+//   valvekeel-proxysim --first=77 --seeds=1 --print_log   runs one seed and prints its log lines
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr std::uint64_t kShownViolations = 5;
+constexpr std::uint64_t kDefaultShownViolations = 5;
 
 }  // namespace
 
@@ -42,13 +42,13 @@
 ABSL_FLAG(std::uint64_t, sessions, 40, "callers at once");
 ABSL_FLAG(std::string, load_trace, "",
           "file for the load of the last day's busiest daemon, for valvekeel replay-waiting");
-ABSL_FLAG(std::uint64_t, shown, kShownViolations, "violations printed of a day");
+ABSL_FLAG(std::uint64_t, shown, kDefaultShownViolations, "violations printed of a day");
 ABSL_FLAG(bool, print_log, false, "print the daemons' log lines");
 
 namespace {
 
-/// Prints a day that broke a rule.
-void Print(std::uint64_t seed, const valvekeel::proxysim::ScenarioResult& result) {
+/// Prints the faults of a scenario that broke a rule, and its violations.
+void PrintViolations(std::uint64_t seed, const valvekeel::proxysim::ScenarioResult& result) {
   std::cout << "seed " << seed << ":\n";
   for (const std::string& fault : result.faults) {
     std::cout << "  " << fault << "\n";
@@ -83,7 +83,7 @@
             << phase.processor_seconds / seconds / static_cast<double>(daemons) * 1000 << " |\n";
 }
 
-/// @return the exit status: 1 if the daemons of some size did not agree.
+/// @return the exit status: 1 if the daemons of any deployment disagreed on the coordinators.
 int PrintControlCost(const std::vector<std::string>& sizes) {
   std::cout
       << "| daemons x services | phase | messages/s | of a plain daemon, most | of any, most | "
@@ -92,9 +92,10 @@
          "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
   bool agreed = true;
   for (const std::string& size : sizes) {
-    const std::size_t by = size.find('x');
-    const std::size_t services = by == std::string::npos ? valvekeel::proxysim::kUsualServices
-                                                         : std::stoul(size.substr(by + 1));
+    const std::size_t separator = size.find('x');
+    const std::size_t services = separator == std::string::npos
+                                     ? valvekeel::proxysim::kUsualServices
+                                     : std::stoul(size.substr(separator + 1));
     const auto cost = valvekeel::proxysim::MeasureControlCost(std::stoul(size), services);
     PrintPhase("start", cost, cost.start);
     PrintPhase("rest", cost, cost.rest);
@@ -114,7 +115,7 @@
     return PrintControlCost(absl::GetFlag(FLAGS_control_cost));
   }
   const auto start = std::chrono::steady_clock::now();
-  std::map<std::string, std::size_t> days_by_rule;
+  std::map<std::string, std::size_t> runs_by_rule;
   std::size_t attempts = 0;
   std::size_t succeeded = 0;
   std::size_t promotions = 0;
@@ -148,23 +149,23 @@
     if (options.record_load) {
       std::ofstream(absl::GetFlag(FLAGS_load_trace)) << result.load_trace;
     }
-    std::map<std::string, bool> broken;
+    std::map<std::string, bool> broken_rules;
     for (const auto& violation : result.violations) {
-      broken[violation.rule] = true;
+      broken_rules[violation.rule] = true;
     }
-    for (const auto& [rule, is_broken] : broken) {
-      ++days_by_rule[rule];
+    for (const auto& [rule, is_broken] : broken_rules) {
+      ++runs_by_rule[rule];
     }
     if (!result.violations.empty()) {
-      Print(seed, result);
+      PrintViolations(seed, result);
     }
   }
   const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - start;
   std::cout << "days " << absl::GetFlag(FLAGS_seeds) << ", attempts " << attempts << ", succeeded "
             << succeeded << ", promotions " << promotions << ", relayed " << relayed
             << ", planned stops " << stops << ", " << seconds.count() << " s\n";
-  for (const auto& [rule, days] : days_by_rule) {
-    std::cout << "days that broke " << rule << ": " << days << "\n";
+  for (const auto& [rule, runs] : runs_by_rule) {
+    std::cout << "days that broke " << rule << ": " << runs << "\n";
   }
-  return days_by_rule.empty() ? 0 : 1;
+  return runs_by_rule.empty() ? 0 : 1;
 }
--- a/apps/valvekeeld.cc
+++ b/apps/valvekeeld.cc
@@ -1,4 +1,4 @@
-// valvekeeld: the daemon between callers and databases.
+// valvekeeld: the proxy daemon between callers and databases.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
