--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -18,7 +18,7 @@
 #include "model/reply.h"
 #include "model/request.h"
 #include "proxy/actions.h"
-#include "warm_up/instance_life.h"
+#include "warm_up/restart_detector.h"
 
 namespace valvekeel::proxy {
 
--- a/src/warm_up/instance_life.cc
+++ b/src/warm_up/restart_detector.cc
@@ -1,4 +1,4 @@
-#include "warm_up/instance_life.h"
+#include "warm_up/restart_detector.h"
 
 #include <utility>
 
--- a/src/warm_up/holder.cc
+++ b/src/warm_up/sender_role.cc
@@ -1,4 +1,4 @@
-#include "warm_up/holder.h"
+#include "warm_up/sender_role.h"
 
 #include <algorithm>
 
--- a/src/warm_up/warm_up_rule.h
+++ b/src/warm_up/warm_up_rule.h
@@ -1,7 +1,7 @@
 /**
  * @file Instances that have just started get few requests.
  *
- * While an instance is cold, one daemon alone (holder.h) sends it callers' requests, up to a rate,
+ * While an instance is cold, one daemon alone (sender_role.h) sends it callers' requests, up to a rate,
  * and only what the warm instances have no room for. A cold primary is replaced if a warm replica
  * can take its place. See docs/design/warm-up.md.
  *
@@ -17,8 +17,8 @@
 
 #include "access/rule.h"
 #include "warm_up/cold_instances.h"
-#include "warm_up/holder.h"
-#include "warm_up/instance_life.h"
+#include "warm_up/sender_role.h"
+#include "warm_up/restart_detector.h"
 #include "warm_up/send_window.h"
 
 namespace valvekeel::warm_up {
--- a/tests/warm_up/instance_life_test.cc
+++ b/tests/warm_up/restart_detector_test.cc
@@ -1,6 +1,6 @@
 // Whether an instance may have started again.
 
-#include "warm_up/instance_life.h"
+#include "warm_up/restart_detector.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/warm_up/holder_test.cc
+++ b/tests/warm_up/sender_role_test.cc
@@ -1,6 +1,6 @@
 // Which daemon may use a cold instance.
 
-#include "warm_up/holder.h"
+#include "warm_up/sender_role.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
