--- a/src/evacuation/evacuation_rule.cc
+++ b/src/evacuation/evacuation_rule.cc
@@ -11,24 +11,24 @@
 
 }  // namespace
 
-bool evacuation_rule::closed(const std::string& zone, common::Instant now) const {
-  if (!this->policy.closes) {
+bool evacuation_rule::is_closed(const std::string& zone, common::Instant now) const {
+  if (!this->policy.enforces_limit) {
     return false;
   }
   const auto in_use_at = this->tracker.in_use_at(zone);
-  const common::Duration margin = this->policy.limit / MARGIN_PART;
+  const common::Duration margin = this->policy.limit / MARGIN_DIVISOR;
   return !in_use_at || now >= *in_use_at + this->policy.limit - margin;
 }
 
 access::answer evacuation_rule::judge(const model::InstanceEntry& instance,
                                       const access::work& asked, common::Instant now) const {
-  if (this->tracker.awaits_first(now)) {
+  if (this->tracker.awaits_first_view(now)) {
     return {access::verdict::later, VIEW_UNKNOWN, UNKNOWN_COME_BACK};
   }
-  if (!this->tracker.evacuated(instance.zone)) {
+  if (!this->tracker.is_evacuated(instance.zone)) {
     return {};
   }
-  if (this->closed(instance.zone, now)) {
+  if (this->is_closed(instance.zone, now)) {
     return {access::verdict::closed, EVACUATED, CLOSED_COME_BACK};
   }
   if (asked.continues_transaction) {
@@ -39,7 +39,7 @@
 
 access::leader_answer evacuation_rule::judge_leader(const model::InstanceEntry& instance,
                                                     common::Instant /*now*/) const {
-  if (this->tracker.evacuated(instance.zone)) {
+  if (this->tracker.is_evacuated(instance.zone)) {
     return {model::LeaderFitness::kUnfit, EVACUATED};
   }
   return {};
--- a/src/evacuation/evacuation_rule.h
+++ b/src/evacuation/evacuation_rule.h
@@ -18,7 +18,7 @@
  * machine, the statement that a transaction may be running, the way of its ROLLBACK, and clocks
  * that do not run alike.
  */
-inline constexpr int MARGIN_PART = 8;
+inline constexpr int MARGIN_DIVISOR = 8;
 
 /** The reason in logs and refusals. */
 inline constexpr const char* EVACUATED = "evacuated";
@@ -27,7 +27,8 @@
 struct evacuation_policy {
   /** From an evacuation's acknowledgement until nothing may reach the zone; not 0. */
   common::Duration limit{0};
-  bool closes = true;  // off: instances are only avoided; for tests that need the bound broken
+  bool enforces_limit =
+      true;  // off: instances are only avoided; for tests that need the bound broken
 };
 
 class evacuation_rule : public access::rule {
@@ -46,7 +47,7 @@
                  common::Instant now) override;
 
  private:
-  bool closed(const std::string& zone, common::Instant now) const;
+  bool is_closed(const std::string& zone, common::Instant now) const;
 
   const view_tracker& tracker;
   evacuation_policy policy;
--- a/src/evacuation/read_schedule.cc
+++ b/src/evacuation/read_schedule.cc
@@ -24,10 +24,10 @@
 
 }  // namespace
 
-bool read_schedule::due(const read_duty& duty, const view_tracker& tracker,
+bool read_schedule::due(const read_conditions& duty, const view_tracker& tracker,
                         common::Instant now) const {
   const auto since = this->sent_at ? std::optional(now - *this->sent_at) : std::nullopt;
-  if (duty.reader) {
+  if (duty.is_reader) {
     return !since || *since >= this->limit / READER_PART;
   }
   if (!duty.sends_work && !duty.coordinates) {
@@ -40,13 +40,14 @@
   return old && (!since || *since >= pause);
 }
 
-bool read_schedule::start(const read_duty& duty, const view_tracker& tracker, common::Instant now) {
+bool read_schedule::start(const read_conditions& duty, const view_tracker& tracker,
+                          common::Instant now) {
   if (this->reading || !this->due(duty, tracker, now)) {
     return false;
   }
   this->reading = true;
   this->sent_at = now;
-  this->known_revision = tracker.known() ? tracker.newest()->revision : model::Revision();
+  this->known_revision = tracker.has_view() ? tracker.newest()->revision : model::Revision();
   return true;
 }
 
--- a/src/evacuation/read_schedule.h
+++ b/src/evacuation/read_schedule.h
@@ -22,8 +22,8 @@
 inline constexpr common::Duration READ_TIMEOUT{900'000};
 
 /** What decides whether this daemon reads. */
-struct read_duty {
-  bool reader = false;           // it reads for all
+struct read_conditions {
+  bool is_reader = false;        // it reads for all
   bool sends_work = false;       // it sends work to instances, or may have to at any moment
   bool coordinates = false;      // it may have to replace primaries
   bool store_connected = false;  // the store answered lately
@@ -35,10 +35,10 @@
   explicit read_schedule(common::Duration limit) : limit(limit) {}
 
   /** @return true if a read is due; it counts as sent then. */
-  bool start(const read_duty& duty, const view_tracker& tracker, common::Instant now);
+  bool start(const read_conditions& duty, const view_tracker& tracker, common::Instant now);
 
   /** @return when the read in progress was sent. */
-  common::Instant asked_at() const { return this->sent_at.value_or(common::Instant(0)); }
+  common::Instant started_at() const { return this->sent_at.value_or(common::Instant(0)); }
 
   /**
    * The read was answered, or was not.
@@ -50,7 +50,7 @@
   std::optional<common::Instant> finish(const std::optional<model::Revision>& revision);
 
  private:
-  bool due(const read_duty& duty, const view_tracker& tracker, common::Instant now) const;
+  bool due(const read_conditions& duty, const view_tracker& tracker, common::Instant now) const;
 
   common::Duration limit;
   bool reading = false;
--- a/src/evacuation/view_tracker.cc
+++ b/src/evacuation/view_tracker.cc
@@ -4,21 +4,21 @@
 
 namespace valvekeel::evacuation {
 
-view_change view_tracker::take(const zone_view& taken) {
+view_change view_tracker::apply(const zone_view& taken) {
   if (!this->view || taken.revision > this->view->revision) {
     return this->replace(taken);
   }
   if (taken.revision == this->view->revision) {
     this->view->read_at = std::max(this->view->read_at, taken.read_at);
   }
-  this->note_in_use(taken);
+  this->record_in_use(taken);
   return {};
 }
 
 view_change view_tracker::replace(const zone_view& newer) {
   view_change change;
   for (const std::string& zone : newer.zones) {
-    if (this->evacuated(zone)) {
+    if (this->is_evacuated(zone)) {
       continue;
     }
     change.begun.push_back(zone);
@@ -42,7 +42,7 @@
   return change;
 }
 
-void view_tracker::note_in_use(const zone_view& older) {
+void view_tracker::record_in_use(const zone_view& older) {
   for (const std::string& zone : this->view->zones) {
     if (older.zones.contains(zone)) {
       continue;
@@ -52,17 +52,17 @@
   }
 }
 
-void view_tracker::note_work(common::Instant now) {
-  if (!this->work_since) {
-    this->work_since = now;
+void view_tracker::on_work(common::Instant now) {
+  if (!this->first_work_at) {
+    this->first_work_at = now;
   }
 }
 
-bool view_tracker::awaits_first(common::Instant now) const {
-  return !this->view && (!this->work_since || now < *this->work_since + FIRST_VIEW_TIME);
+bool view_tracker::awaits_first_view(common::Instant now) const {
+  return !this->view && (!this->first_work_at || now < *this->first_work_at + FIRST_VIEW_TIMEOUT);
 }
 
-bool view_tracker::evacuated(const std::string& zone) const {
+bool view_tracker::is_evacuated(const std::string& zone) const {
   return this->view && this->view->zones.contains(zone);
 }
 
--- a/src/evacuation/view_tracker.h
+++ b/src/evacuation/view_tracker.h
@@ -22,25 +22,25 @@
  * Longest time for which the first work of a daemon waits for its first view: a hundred answers of
  * a store in order. A store that does not answer keeps no daemon from serving for longer.
  */
-inline constexpr common::Duration FIRST_VIEW_TIME{1'000'000};
+inline constexpr common::Duration FIRST_VIEW_TIMEOUT{1'000'000};
 
 class view_tracker {
  public:
   /** Takes a view. @return what it changed. */
-  view_change take(const zone_view& view);
+  view_change apply(const zone_view& view);
 
   /** This daemon is to send work: from now on the first view is waited for. */
-  void note_work(common::Instant now);
+  void on_work(common::Instant now);
 
   /** @return true if work must wait for the first view. */
-  bool awaits_first(common::Instant now) const;
+  bool awaits_first_view(common::Instant now) const;
 
-  bool known() const { return this->view.has_value(); }
+  bool has_view() const { return this->view.has_value(); }
 
   /** @return the newest view; nothing before the first. */
   const std::optional<zone_view>& newest() const { return this->view; }
 
-  bool evacuated(const std::string& zone) const;
+  bool is_evacuated(const std::string& zone) const;
 
   /** @return the newest instant at which an evacuated zone was known to be in use, if any. */
   std::optional<common::Instant> in_use_at(const std::string& zone) const;
@@ -53,11 +53,11 @@
 
  private:
   view_change replace(const zone_view& newer);
-  void note_in_use(const zone_view& older);
+  void record_in_use(const zone_view& older);
 
   std::optional<zone_view> view;
   std::map<std::string, common::Instant> last_in_use;  // of evacuated zones that were seen in use
-  std::optional<common::Instant> work_since;
+  std::optional<common::Instant> first_work_at;
 };
 
 }  // namespace valvekeel::evacuation
--- a/src/host/metrics.cc
+++ b/src/host/metrics.cc
@@ -121,7 +121,7 @@
   Gauge("valvekeel_cold_instances", "Instances that are spared since they have just started", {},
         static_cast<double>(proxy.ColdInstances()));
   Gauge("valvekeel_cold_requests_total", "Requests sent to such instances", {},
-        static_cast<double>(proxy.WarmUps().sent_cold()));
+        static_cast<double>(proxy.WarmUps().cold_requests()));
   Gauge("valvekeel_store_era", "Era of the store's history, 0 if it tells none", {},
         static_cast<double>(proxy.CatalogView().Era()));
   Gauge("valvekeel_store_era_changes_total", "Returns of the store from an older copy", {},
--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -160,7 +160,7 @@
   std::optional<model::InstanceStatus> status;    // last received
   common::Instant status_received_at{0};          // time at which `status` was received
   bool address_taken = false;                     // another instance answers at its address
-  warm_up::instance_life restart_detection;
+  warm_up::restart_detector restart_detection;
 
  private:
   static bool IsFree(const Connection& connection);
--- a/src/proxy/backend_set.cc
+++ b/src/proxy/backend_set.cc
@@ -336,18 +336,18 @@
 }
 
 void BackendSet::DetectRestart(Backend& backend, common::Instant now) {
-  const bool may_have_restarted = backend.restart_detection.note_opened();
+  const bool may_have_restarted = backend.restart_detection.on_connection_opened();
   if (warm_up_observer_ == nullptr) {
     return;
   }
   if (may_have_restarted) {
-    warm_up_observer_->may_have_restarted(backend.Entry(), now);
+    warm_up_observer_->on_possible_restart(backend.Entry(), now);
     return;
   }
   const bool connected = std::any_of(backend.Connections().begin(), backend.Connections().end(),
                                      [](const auto& each) { return each.second.open; });
   if (!connected && !backend.ContactedWithin(kNoRestartGap, now)) {
-    warm_up_observer_->first_contact(backend.Entry(), now);
+    warm_up_observer_->on_first_contact(backend.Entry(), now);
   }
 }
 
@@ -366,7 +366,7 @@
     const bool was_unreachable = backend->Unreachable();
     backend->OnOpenFailed(now, failure != OpenFailure::kTimedOut);
     if (!was_unreachable && backend->Unreachable()) {
-      backend->restart_detection.note_break(now);
+      backend->restart_detection.on_connection_lost(now);
       outbox_.Log("instance_lost",
                   {{"instance", backend->Entry().id}, {"reason", OpenFailureName(failure)}},
                   LogLevel::kWarning);
@@ -398,9 +398,9 @@
   connection->state = reply.state;
   connection->last_used = now;
   const bool not_restarted =
-      backend->restart_detection.note_answered(connection->opened, outstanding.sent);
+      backend->restart_detection.on_answer(connection->opened, outstanding.sent);
   if (not_restarted && warm_up_observer_ != nullptr) {
-    warm_up_observer_->same_life(backend->Entry());
+    warm_up_observer_->on_restart_ruled_out(backend->Entry());
   }
   if (outstanding.purpose == RequestPurpose::kControl) {
     if (reply.status) {
@@ -432,7 +432,7 @@
     OnOpenFailed(number, OpenFailure::kRefused, model::ErrorCode::kFailed, now);
     return;
   }
-  backend->restart_detection.note_break(now);
+  backend->restart_detection.on_connection_lost(now);
   DropLostConnection(*backend, number, now);
   // Reconnects at once to check whether the instance still listens.
   if (backend->Connections().empty() && IsWatched(backend->Entry().service)) {
@@ -485,7 +485,7 @@
           }
           probed->OnProbeFailed(at);
           if (probed->Unreachable()) {
-            probed->restart_detection.note_break(at);
+            probed->restart_detection.on_connection_lost(at);
             outbox_.Log("instance_lost", {{"instance", id}, {"reason", "silent"}},
                         LogLevel::kWarning);
           }
--- a/src/proxy/backend_set.h
+++ b/src/proxy/backend_set.h
@@ -60,7 +60,7 @@
   explicit BackendSet(Outbox& outbox) : outbox_(outbox) {}
 
   void SetObserver(ConnectionObserver* observer) { observer_ = observer; }
-  void SetWarmUpObserver(warm_up::life_observer* observer) { warm_up_observer_ = observer; }
+  void SetWarmUpObserver(warm_up::warm_up_observer* observer) { warm_up_observer_ = observer; }
   void SetRestartObserver(RestartObserver* observer) { restart_observer_ = observer; }
 
   /// Adds or updates an instance by its entry in the store.
@@ -166,7 +166,7 @@
 
   Outbox& outbox_;
   ConnectionObserver* observer_ = nullptr;
-  warm_up::life_observer* warm_up_observer_ = nullptr;
+  warm_up::warm_up_observer* warm_up_observer_ = nullptr;
   RestartObserver* restart_observer_ = nullptr;
   std::map<std::string, Backend> backends_;
   std::map<std::string, std::vector<std::string>> ids_by_service_;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -236,7 +236,7 @@
   void UpdateWarmUpRole(common::Instant now);
   void AdvanceWarmUps(common::Instant now);
   void LogWarmUps(common::Instant now);
-  warm_up::hearing CountReachableDaemons(common::Instant now) const;
+  warm_up::reachability CountReachableDaemons(common::Instant now) const;
   void UpdateReadiness(common::Instant now);
   /// Requests a new list of instances if members of watched groups are unknown.
   void EnsureMembersKnown();
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -17,11 +17,11 @@
   }
   const bool sends_work = Admits() || dispatcher_.SessionCount() > 0;
   if (sends_work) {
-    evacuations_.note_work(now);
+    evacuations_.on_work(now);
   }
   const bool coordinates = roles_.known() && roles_.coordinates();
-  const evacuation::read_duty duty{store_lease_.IsReader(), sends_work, coordinates,
-                                   catalog_.Connected()};
+  const evacuation::read_conditions duty{store_lease_.IsReader(), sends_work, coordinates,
+                                         catalog_.Connected()};
   if (!evacuation_reads_.start(duty, evacuations_, now)) {
     return;
   }
@@ -40,7 +40,7 @@
   // After the store returned from an older copy, acknowledged evacuations may not have been written
   // again yet. A zone must not return to use because of that.
   const bool answered = result.status == metadata::ReadStatus::kOk &&
-                        catalog_.IsComplete(evacuation_reads_.asked_at());
+                        catalog_.IsComplete(evacuation_reads_.started_at());
   const auto read_at =
       evacuation_reads_.finish(answered ? std::optional(result.revision) : std::nullopt);
   if (!read_at) {
@@ -76,7 +76,7 @@
 
 void Proxy::ApplyEvacuations(const evacuation::zone_view& view, const std::string& source,
                              common::Instant now) {
-  const evacuation::view_change change = evacuations_.take(view);
+  const evacuation::view_change change = evacuations_.apply(view);
   evacuations_changed_ = evacuations_changed_ || !change.empty();
   for (const std::string& zone : change.begun) {
     const auto in_use_at = evacuations_.in_use_at(zone);
@@ -88,7 +88,7 @@
                                      {"source", source}});
   }
   for (const std::string& zone : change.ended) {
-    warm_up_.zone_returned(zone, now);
+    warm_up_.on_evacuation_ended(zone, now);
     outbox_.Log("evacuation_over", {{"zone", zone},
                                     {"revision", model::RevisionText(view.revision)},
                                     {"age_ms", AgeText(evacuations_.age(now))},
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -27,11 +27,11 @@
   }
   // Nothing was recorded while the rule was disabled.
   for (const auto& [id, entry] : catalog_.Instances()) {
-    warm_up_.instances().note_entry(entry, now);
+    warm_up_.instances().apply_entry(entry, now);
   }
   for (const auto& [id, backend] : backends_.All()) {
     if (!backend.Connections().empty()) {
-      warm_up_.first_contact(backend.Entry(), now);
+      warm_up_.on_first_contact(backend.Entry(), now);
     }
   }
 }
@@ -41,23 +41,24 @@
     return;
   }
   for (const std::string& id : update.removed_instances) {
-    warm_up_.instances().note_gone(id);
+    warm_up_.instances().on_entry_removed(id);
   }
   for (const model::InstanceEntry& entry : update.instances) {
-    warm_up_.instances().note_entry(entry, now);
+    warm_up_.instances().apply_entry(entry, now);
   }
 }
 
-warm_up::hearing Proxy::CountReachableDaemons(common::Instant now) const {
-  warm_up::hearing daemons;
-  daemons.alive = LiveMembers(now).size();
+warm_up::reachability Proxy::CountReachableDaemons(common::Instant now) const {
+  warm_up::reachability daemons;
+  daemons.reachable = LiveMembers(now).size();
   daemons.listed = catalog_.Daemons().size();
-  daemons.lately = large_deployment_ ? membership_.live_within(kReachableWithin, now)
-                                     : peers_.CountReceivedWithin(kReachableWithin, now) + 1;
+  daemons.recently_reachable = large_deployment_
+                                   ? membership_.live_within(kReachableWithin, now)
+                                   : peers_.CountReceivedWithin(kReachableWithin, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
     if (peers_.IsAlive(peer, now)) {
-      ++daemons.direct;
-      daemons.direct_hearing += now < peer.last_echoed_sent_at + kConfirmedAge ? 1 : 0;
+      ++daemons.direct_peers;
+      daemons.confirming_peers += now < peer.last_echoed_sent_at + kConfirmedAge ? 1 : 0;
     }
   }
   return daemons;
@@ -86,11 +87,11 @@
   if (!warm_up_.enabled()) {
     return;
   }
-  if (warm_up_.instances().wants_fresh()) {
+  if (warm_up_.instances().needs_refresh()) {
     catalog_.RefreshInstances(now);
   }
   if (const auto as_of = catalog_.InstancesFreshAsOf(now)) {
-    warm_up_.instances().note_fresh(*as_of);
+    warm_up_.instances().on_entries_refreshed(*as_of);
   }
   warm_up_.advance(now);
   LogWarmUps(now);
@@ -102,7 +103,7 @@
     const auto state = warm_up_.instances().find(entry, now);
     const auto since = cold_since_.find(id);
     // A daemon that had no connection to an instance for a while reads its entry each time.
-    const bool known_cold = state && !warm_up::awaits_entries(*state, now);
+    const bool known_cold = state && !warm_up::awaits_refresh(*state, now);
     if (known_cold && since == cold_since_.end()) {
       cold_since_[id] = now;
       outbox_.Log("instance_cold", {{"instance", id},
--- a/src/warm_up/cold_instances.cc
+++ b/src/warm_up/cold_instances.cc
@@ -19,18 +19,19 @@
   switch (source) {
     case cold_source::entry:
       return "its entry";
-    case cold_source::may_be_new:
+    case cold_source::possible_restart:
       return "it may have started again";
-    case cold_source::zone_returned:
+    case cold_source::evacuation_ended:
       return "its zone was evacuated";
-    case cold_source::entries_old:
+    case cold_source::stale_entries:
       return "entries may be old";
   }
   return "unknown";
 }
 
-bool awaits_entries(const cold_state& state, common::Instant now) {
-  return state.source == cold_source::entries_old && state.until - now > ENTRY_DELAY - REFRESH_TIME;
+bool awaits_refresh(const cold_state& state, common::Instant now) {
+  return state.source == cold_source::stale_entries &&
+         state.until - now > MAX_ENTRY_DELAY - REFRESH_TIMEOUT;
 }
 
 void cold_instances::set_services(const std::map<std::string, model::Service>& services) {
@@ -47,41 +48,42 @@
   return found == this->warm_ups.end() ? nullptr : &found->second;
 }
 
-void cold_instances::note_entry(const model::InstanceEntry& entry, common::Instant now) {
+void cold_instances::apply_entry(const model::InstanceEntry& entry, common::Instant now) {
   if (entry.warm_up_left > common::Duration(0)) {
-    this->told[entry.id] = now + entry.warm_up_left;
+    this->reported_ends[entry.id] = now + entry.warm_up_left;
   } else {
-    this->told.erase(entry.id);
+    this->reported_ends.erase(entry.id);
   }
 }
 
-void cold_instances::note_first_contact(const std::string& id, common::Instant now) {
-  if (!this->fresh_as_of || now >= *this->fresh_as_of + FRESH_ENOUGH) {
-    this->contacts[id] = now;
+void cold_instances::on_first_contact(const std::string& id, common::Instant now) {
+  if (!this->fresh_as_of || now >= *this->fresh_as_of + MAX_FRESH_AGE) {
+    this->first_contacts[id] = now;
   }
 }
 
-void cold_instances::note_fresh(common::Instant as_of) {
+void cold_instances::on_entries_refreshed(common::Instant as_of) {
   this->fresh_as_of = as_of;
-  std::erase_if(this->contacts, [&](const auto& contact) { return contact.second <= as_of; });
+  std::erase_if(this->first_contacts, [&](const auto& contact) { return contact.second <= as_of; });
 }
 
-void cold_instances::forget_old(common::Instant now) {
+void cold_instances::remove_expired(common::Instant now) {
   common::Duration longest{0};
   for (const auto& [service, warm_up] : this->warm_ups) {
     longest = std::max(longest, warm_up.time);
   }
   const auto ended = [&](const auto& each) { return now >= each.second + longest; };
-  std::erase_if(this->restarts, ended);
-  std::erase_if(this->zones_returned, ended);
-  std::erase_if(this->contacts, [&](const auto& each) { return now >= each.second + ENTRY_DELAY; });
+  std::erase_if(this->possible_restarts, ended);
+  std::erase_if(this->ended_evacuations, ended);
+  std::erase_if(this->first_contacts,
+                [&](const auto& each) { return now >= each.second + MAX_ENTRY_DELAY; });
 }
 
-std::optional<common::Instant> cold_instances::told_until(const model::InstanceEntry& entry,
-                                                          common::Instant now) const {
-  const auto found = this->told.find(entry.id);
-  const bool cold = this->warm_up_of(entry.service) != nullptr && found != this->told.end() &&
-                    now < found->second;
+std::optional<common::Instant> cold_instances::reported_until(const model::InstanceEntry& entry,
+                                                              common::Instant now) const {
+  const auto found = this->reported_ends.find(entry.id);
+  const bool cold = this->warm_up_of(entry.service) != nullptr &&
+                    found != this->reported_ends.end() && now < found->second;
   return cold ? std::optional(found->second) : std::nullopt;
 }
 
@@ -92,20 +94,20 @@
     return std::nullopt;
   }
   std::optional<cold_state> found;
-  if (const auto until = this->told_until(entry, now)) {
+  if (const auto until = this->reported_until(entry, now)) {
     lengthen(found, *until, cold_source::entry, now);
   }
-  const auto restart = this->restarts.find(entry.id);
-  if (restart != this->restarts.end()) {
-    lengthen(found, restart->second + warm_up->time, cold_source::may_be_new, now);
+  const auto restart = this->possible_restarts.find(entry.id);
+  if (restart != this->possible_restarts.end()) {
+    lengthen(found, restart->second + warm_up->time, cold_source::possible_restart, now);
   }
-  const auto returned = this->zones_returned.find(entry.zone);
-  if (returned != this->zones_returned.end()) {
-    lengthen(found, returned->second + warm_up->time, cold_source::zone_returned, now);
+  const auto returned = this->ended_evacuations.find(entry.zone);
+  if (returned != this->ended_evacuations.end()) {
+    lengthen(found, returned->second + warm_up->time, cold_source::evacuation_ended, now);
   }
-  const auto contact = this->contacts.find(entry.id);
-  if (contact != this->contacts.end()) {
-    lengthen(found, contact->second + ENTRY_DELAY, cold_source::entries_old, now);
+  const auto contact = this->first_contacts.find(entry.id);
+  if (contact != this->first_contacts.end()) {
+    lengthen(found, contact->second + MAX_ENTRY_DELAY, cold_source::stale_entries, now);
   }
   return found;
 }
--- a/src/warm_up/cold_instances.h
+++ b/src/warm_up/cold_instances.h
@@ -26,20 +26,20 @@
  * lists from an old state of the store (0.3 s each), and the calls. After it a daemon that gets no
  * answer from the store goes by what it knows.
  */
-inline constexpr common::Duration ENTRY_DELAY{3'000'000};
+inline constexpr common::Duration MAX_ENTRY_DELAY{3'000'000};
 
 /**
  * Entries that were known so lately need not be asked for again: who serves a session of a service
  * that it does not own opens and closes connections several times a second.
  */
-inline constexpr common::Duration FRESH_ENOUGH{1'000'000};
+inline constexpr common::Duration MAX_FRESH_AGE{1'000'000};
 
 /** How it is known that an instance is cold. */
 enum class cold_source : std::uint8_t {
-  entry,          // it said so
-  may_be_new,     // it may have started again: connections broke, or it was not reached
-  zone_returned,  // its zone was evacuated until a moment ago
-  entries_old,    // what is known of it may be old
+  entry,             // it said so
+  possible_restart,  // it may have started again: connections broke, or it was not reached
+  evacuation_ended,  // its zone was evacuated until a moment ago
+  stale_entries,     // what is known of it may be old
 };
 
 /** @return the name of a source, for logs. */
@@ -52,10 +52,10 @@
 };
 
 /** Time that a call for fresh entries may take before it counts as unanswered. */
-inline constexpr common::Duration REFRESH_TIME{200'000};
+inline constexpr common::Duration REFRESH_TIMEOUT{200'000};
 
 /** @return true if the instance counts as cold only until fresh entries come, which is soon. */
-bool awaits_entries(const cold_state& state, common::Instant now);
+bool awaits_refresh(const cold_state& state, common::Instant now);
 
 class cold_instances {
  public:
@@ -69,48 +69,50 @@
   const model::WarmUp* warm_up_of(const std::string& service) const;
 
   /** Takes an instance's entry, which has just arrived and was not known before. */
-  void note_entry(const model::InstanceEntry& entry, common::Instant now);
+  void apply_entry(const model::InstanceEntry& entry, common::Instant now);
 
   /** The instance's entry is gone: the next one counts in full. */
-  void note_gone(const std::string& id) { this->told.erase(id); }
+  void on_entry_removed(const std::string& id) { this->reported_ends.erase(id); }
 
   /** The instance may have started again up to now. */
-  void note_restart(const std::string& id, common::Instant now) { this->restarts[id] = now; }
+  void on_possible_restart(const std::string& id, common::Instant now) {
+    this->possible_restarts[id] = now;
+  }
 
   /** The instance is known not to have started since its connections broke. */
-  void note_same_life(const std::string& id) { this->restarts.erase(id); }
+  void on_restart_ruled_out(const std::string& id) { this->possible_restarts.erase(id); }
 
   /** From now on callers' work may go to an instance that was not watched until now. */
-  void note_first_contact(const std::string& id, common::Instant now);
+  void on_first_contact(const std::string& id, common::Instant now);
 
   /** All entries are known as they were at an instant, or later. */
-  void note_fresh(common::Instant as_of);
+  void on_entries_refreshed(common::Instant as_of);
 
   /** @return true if fresh entries would tell of instances that count as cold for want of them. */
-  bool wants_fresh() const { return !this->contacts.empty(); }
+  bool needs_refresh() const { return !this->first_contacts.empty(); }
 
   /** The evacuation of a zone has ended. */
-  void note_zone_returned(const std::string& zone, common::Instant now) {
-    this->zones_returned[zone] = now;
+  void on_evacuation_ended(const std::string& zone, common::Instant now) {
+    this->ended_evacuations[zone] = now;
   }
 
   /** Drops what says nothing any more. */
-  void forget_old(common::Instant now);
+  void remove_expired(common::Instant now);
 
   /** @return until when the instance counts as cold, nothing if it is warm. */
   std::optional<cold_state> find(const model::InstanceEntry& entry, common::Instant now) const;
 
   /** @return until when it is cold by its own word, nothing if it does not say so. */
-  std::optional<common::Instant> told_until(const model::InstanceEntry& entry,
-                                            common::Instant now) const;
+  std::optional<common::Instant> reported_until(const model::InstanceEntry& entry,
+                                                common::Instant now) const;
 
  private:
-  std::map<std::string, model::WarmUp> warm_ups;    // by service, those in force alone
-  std::map<std::string, common::Instant> told;      // until when, by instance
-  std::map<std::string, common::Instant> restarts;  // by instance
-  std::map<std::string, common::Instant> contacts;  // by instance
+  std::map<std::string, model::WarmUp> warm_ups;             // by service, those in force alone
+  std::map<std::string, common::Instant> reported_ends;      // until when, by instance
+  std::map<std::string, common::Instant> possible_restarts;  // by instance
+  std::map<std::string, common::Instant> first_contacts;     // by instance
   std::optional<common::Instant> fresh_as_of;
-  std::map<std::string, common::Instant> zones_returned;  // by zone
+  std::map<std::string, common::Instant> ended_evacuations;  // by zone
 };
 
 }  // namespace valvekeel::warm_up
--- a/src/warm_up/restart_detector.cc
+++ b/src/warm_up/restart_detector.cc
@@ -4,23 +4,26 @@
 
 namespace valvekeel::warm_up {
 
-void instance_life::note_break(common::Instant now) {
-  this->broken = now;
-  this->doubted = false;
+void restart_detector::on_connection_lost(common::Instant now) {
+  this->lost_at = now;
+  this->restart_suspected = false;
 }
 
-bool instance_life::note_opened() { return this->broken && !std::exchange(this->doubted, true); }
+bool restart_detector::on_connection_opened() {
+  return this->lost_at && !std::exchange(this->restart_suspected, true);
+}
 
-bool instance_life::note_answered(common::Instant opened, common::Instant sent) {
-  if (!this->broken) {
+bool restart_detector::on_answer(common::Instant opened, common::Instant sent) {
+  if (!this->lost_at) {
     return false;
   }
-  const bool lived_on = opened + NOTICED_LATE < *this->broken && sent >= *this->broken;
+  const bool lived_on =
+      opened + MAX_BREAK_DETECTION_DELAY < *this->lost_at && sent >= *this->lost_at;
   if (!lived_on) {
     return false;
   }
-  this->broken.reset();
-  return std::exchange(this->doubted, false);
+  this->lost_at.reset();
+  return std::exchange(this->restart_suspected, false);
 }
 
 }  // namespace valvekeel::warm_up
--- a/src/warm_up/restart_detector.h
+++ b/src/warm_up/restart_detector.h
@@ -22,33 +22,33 @@
  * that another connection learns of by the break: an idle one notices when it is used, at the
  * latest by a status request, which a silent instance gets after half a second.
  */
-inline constexpr common::Duration NOTICED_LATE{2'000'000};
+inline constexpr common::Duration MAX_BREAK_DETECTION_DELAY{2'000'000};
 
 /** Told of what the connections to instances show. */
-class life_observer {
+class warm_up_observer {
  public:
-  life_observer() = default;
-  life_observer(const life_observer&) = delete;
-  life_observer& operator=(const life_observer&) = delete;
-  virtual ~life_observer() = default;
+  warm_up_observer() = default;
+  warm_up_observer(const warm_up_observer&) = delete;
+  warm_up_observer& operator=(const warm_up_observer&) = delete;
+  virtual ~warm_up_observer() = default;
 
   /** The instance is reached again after a break: it may have started in between. */
-  virtual void may_have_restarted(const model::InstanceEntry& instance, common::Instant now) = 0;
+  virtual void on_possible_restart(const model::InstanceEntry& instance, common::Instant now) = 0;
 
   /** That turned out to be wrong. */
-  virtual void same_life(const model::InstanceEntry& instance) = 0;
+  virtual void on_restart_ruled_out(const model::InstanceEntry& instance) = 0;
 
   /** The instance is reached, and was not watched by a connection until now. */
-  virtual void first_contact(const model::InstanceEntry& instance, common::Instant now) = 0;
+  virtual void on_first_contact(const model::InstanceEntry& instance, common::Instant now) = 0;
 };
 
-class instance_life {
+class restart_detector {
  public:
   /** A connection broke, or the instance is not reached. */
-  void note_break(common::Instant now);
+  void on_connection_lost(common::Instant now);
 
   /** A connection was opened. @return true if the instance may have started since it was seen. */
-  bool note_opened();
+  bool on_connection_opened();
 
   /**
    * A request was answered.
@@ -57,11 +57,11 @@
    * @param sent    when the request was sent
    * @return true if the instance was doubted, and lives on
    */
-  bool note_answered(common::Instant opened, common::Instant sent);
+  bool on_answer(common::Instant opened, common::Instant sent);
 
  private:
-  std::optional<common::Instant> broken;
-  bool doubted = false;
+  std::optional<common::Instant> lost_at;
+  bool restart_suspected = false;
 };
 
 }  // namespace valvekeel::warm_up
--- a/src/warm_up/send_window.cc
+++ b/src/warm_up/send_window.cc
@@ -11,17 +11,17 @@
 
 std::size_t send_window::count(common::Instant now) const {
   std::size_t total = 0;
-  for (const sending& each : this->sent) {
+  for (const send_record& each : this->sent) {
     total += each.at + SEND_WINDOW > now ? each.requests : 0;
   }
   return total;
 }
 
-common::Instant send_window::room_at(std::size_t most, std::size_t requests,
-                                     common::Instant now) const {
+common::Instant send_window::earliest_send_time(std::size_t most, std::size_t requests,
+                                                common::Instant now) const {
   std::size_t left = this->count(now);
   common::Instant at = now;
-  for (const sending& each : this->sent) {
+  for (const send_record& each : this->sent) {
     if (left == 0 || left + requests <= most) {
       break;
     }
--- a/src/warm_up/send_window.h
+++ b/src/warm_up/send_window.h
@@ -33,15 +33,16 @@
    * @param requests  that ask for room
    * @return when there is room; now if there is. A window without requests has room for any number.
    */
-  common::Instant room_at(std::size_t most, std::size_t requests, common::Instant now) const;
+  common::Instant earliest_send_time(std::size_t most, std::size_t requests,
+                                     common::Instant now) const;
 
  private:
-  struct sending {
+  struct send_record {
     common::Instant at{0};
     std::size_t requests = 0;
   };
 
-  std::deque<sending> sent;
+  std::deque<send_record> sent;
 };
 
 }  // namespace valvekeel::warm_up
--- a/src/warm_up/sender_role.cc
+++ b/src/warm_up/sender_role.cc
@@ -6,11 +6,11 @@
 
 namespace valvekeel::warm_up {
 
-bool is_in_majority(const hearing& heard) {
-  const bool hears = 2 * heard.alive >= heard.lately;
-  const bool is_heard = 2 * heard.direct_hearing >= heard.direct;
+bool is_in_majority(const reachability& heard) {
+  const bool hears = 2 * heard.reachable >= heard.recently_reachable;
+  const bool is_heard = 2 * heard.confirming_peers >= heard.direct_peers;
   // Cut off for long, a daemon has forgotten whom it heard; the store's list has not.
-  const bool alone = heard.alive <= 1 && heard.listed > 2;
+  const bool alone = heard.reachable <= 1 && heard.listed > 2;
   return hears && is_heard && !alone;
 }
 
@@ -29,9 +29,10 @@
   return first;
 }
 
-void holder::update(const senders_by_service& senders, const hearing& heard, common::Instant now) {
-  const bool stood_still = this->updated && now >= *this->updated + MOST_SILENCE;
-  this->updated = now;
+void sender_role::update(const senders_by_service& senders, const reachability& heard,
+                         common::Instant now) {
+  const bool stood_still = this->updated_at && now >= *this->updated_at + MAX_UPDATE_INTERVAL;
+  this->updated_at = now;
   if (stood_still || !is_in_majority(heard)) {
     this->views.clear();
   }
@@ -42,13 +43,13 @@
     this->views.push_back({now, senders});
   }
   // The first view kept is the one that was in force when HAND_OVER began.
-  while (this->views.size() > 1 && this->views[1].since + HAND_OVER <= now) {
+  while (this->views.size() > 1 && this->views[1].since + HANDOVER_TIME <= now) {
     this->views.pop_front();
   }
 }
 
-bool holder::is_first(const view& seen, const std::string& service,
-                      const std::string& instance) const {
+bool sender_role::is_first(const view& seen, const std::string& service,
+                           const std::string& instance) const {
   const auto senders = seen.senders.find(service);
   if (senders == seen.senders.end()) {
     return false;
@@ -57,10 +58,10 @@
   return first != nullptr && *first == this->self;
 }
 
-bool holder::is_holder(const std::string& service, const std::string& instance,
-                       common::Instant now) const {
-  const bool known = this->updated && now < *this->updated + MOST_SILENCE && !this->views.empty() &&
-                     this->views.front().since + HAND_OVER <= now;
+bool sender_role::is_sender(const std::string& service, const std::string& instance,
+                            common::Instant now) const {
+  const bool known = this->updated_at && now < *this->updated_at + MAX_UPDATE_INTERVAL &&
+                     !this->views.empty() && this->views.front().since + HANDOVER_TIME <= now;
   return known && std::all_of(this->views.begin(), this->views.end(), [&](const view& seen) {
            return this->is_first(seen, service, instance);
          });
--- a/src/warm_up/sender_role.h
+++ b/src/warm_up/sender_role.h
@@ -26,42 +26,42 @@
  * Time for which a daemon must be the first before it uses the instance. More than the second over
  * which requests are counted, so that of a row of short-lived holders only two fall into one.
  */
-inline constexpr common::Duration HAND_OVER{1'500'000};
+inline constexpr common::Duration HANDOVER_TIME{1'500'000};
 
 /**
  * Time after an update for which it holds: four intervals of the roles (100 ms). Others take a
  * daemon for lost after 900 ms of silence, and wait for HAND_OVER besides.
  */
-inline constexpr common::Duration MOST_SILENCE{400'000};
+inline constexpr common::Duration MAX_UPDATE_INTERVAL{400'000};
 
 /** The other daemons as this one hears them. */
-struct hearing {
-  std::size_t alive = 0;           // daemons that are heard, this one included
-  std::size_t lately = 0;          // that were heard in the last seconds
-  std::size_t direct = 0;          // that this one exchanges messages with, and hears
-  std::size_t direct_hearing = 0;  // of those, who confirm that they hear this one
-  std::size_t listed = 0;          // that the store has named, this one included
+struct reachability {
+  std::size_t reachable = 0;           // daemons that are heard, this one included
+  std::size_t recently_reachable = 0;  // that were heard in the last seconds
+  std::size_t direct_peers = 0;        // that this one exchanges messages with, and hears
+  std::size_t confirming_peers = 0;    // of those, who confirm that they hear this one
+  std::size_t listed = 0;              // that the store has named, this one included
 };
 
 /** Names of the daemons that may send work, by service. */
 using senders_by_service = std::map<std::string, std::vector<std::string>>;
 
 /** @return true if the daemon should not take itself for cut off. */
-bool is_in_majority(const hearing& heard);
+bool is_in_majority(const reachability& heard);
 
 /** @return the first of the daemons for the instance; nothing if there is none. */
 const std::string* first_sender(const std::vector<std::string>& senders,
                                 const std::string& instance);
 
-class holder {
+class sender_role {
  public:
-  explicit holder(std::string self) : self(std::move(self)) {}
+  explicit sender_role(std::string self) : self(std::move(self)) {}
 
   /** Takes who lives now. To be called much more often than MOST_SILENCE. */
-  void update(const senders_by_service& senders, const hearing& heard, common::Instant now);
+  void update(const senders_by_service& senders, const reachability& heard, common::Instant now);
 
   /** @return true if this daemon may use the service's instance while it is cold. */
-  bool is_holder(const std::string& service, const std::string& instance,
+  bool is_sender(const std::string& service, const std::string& instance,
                  common::Instant now) const;
 
  private:
@@ -75,7 +75,7 @@
 
   std::string self;
   std::deque<view> views;  // the last one is in force
-  std::optional<common::Instant> updated;
+  std::optional<common::Instant> updated_at;
 };
 
 }  // namespace valvekeel::warm_up
--- a/src/warm_up/warm_up_rule.cc
+++ b/src/warm_up/warm_up_rule.cc
@@ -15,7 +15,7 @@
 /** @return after which a daemon that may not use the instance may try again. */
 common::Duration held_back_pause(const cold_state& state, common::Instant now) {
   const common::Duration left = state.until - now;
-  return std::min(left, awaits_entries(state, now) ? REFRESH_PAUSE : HELD_BACK_PAUSE);
+  return std::min(left, awaits_refresh(state, now) ? REFRESH_RETRY_AFTER : COLD_RETRY_AFTER);
 }
 
 }  // namespace
@@ -27,11 +27,11 @@
 }
 
 warm_up_rule::warm_up_rule(std::string self, tolerance allowed, bool limited)
-    : allowed(allowed), limited(limited), sender(std::move(self)) {}
+    : allowed(allowed), enforces_limit(limited), sender(std::move(self)) {}
 
 access::answer warm_up_rule::judge(const model::InstanceEntry& instance, const access::work& asked,
                                    common::Instant now) const {
-  if (!this->enabled() || !this->limited) {
+  if (!this->enabled() || !this->enforces_limit) {
     return {};
   }
   const auto state = this->cold.find(instance, now);
@@ -39,7 +39,7 @@
     return {};
   }
   const common::Duration left = state->until - now;
-  if (!this->sender.is_holder(instance.service, instance.id, now)) {
+  if (!this->sender.is_sender(instance.service, instance.id, now)) {
     return {access::verdict::later, COLD_REASON, held_back_pause(*state, now)};
   }
   const std::size_t most = sending_limit(*this->cold.warm_up_of(instance.service), this->allowed);
@@ -49,7 +49,7 @@
   const std::size_t requests = asked.continues_transaction ? NEXT_REQUESTS : FIRST_REQUESTS;
   const auto window = this->windows.find(instance.id);
   const common::Instant room =
-      window == this->windows.end() ? now : window->second.room_at(most, requests, now);
+      window == this->windows.end() ? now : window->second.earliest_send_time(most, requests, now);
   if (room > now) {
     return {access::verdict::later, COLD_REASON, std::min(left, room - now)};
   }
@@ -62,7 +62,7 @@
     return {};
   }
   // What this daemon alone presumes must not move a primary.
-  const auto until = this->cold.told_until(instance, now);
+  const auto until = this->cold.reported_until(instance, now);
   if (!until || *until - now <= PROMOTION_TIME) {
     return {};
   }
@@ -76,34 +76,34 @@
   }
   this->windows[instance.id].add(requests, now);
   if (this->cold.find(instance, now)) {
-    this->total_sent_cold += requests;
+    this->cold_request_count += requests;
   }
 }
 
-void warm_up_rule::may_have_restarted(const model::InstanceEntry& instance, common::Instant now) {
+void warm_up_rule::on_possible_restart(const model::InstanceEntry& instance, common::Instant now) {
   if (this->cold.warm_up_of(instance.service) != nullptr) {
-    this->cold.note_restart(instance.id, now);
+    this->cold.on_possible_restart(instance.id, now);
   }
 }
 
-void warm_up_rule::same_life(const model::InstanceEntry& instance) {
-  this->cold.note_same_life(instance.id);
+void warm_up_rule::on_restart_ruled_out(const model::InstanceEntry& instance) {
+  this->cold.on_restart_ruled_out(instance.id);
 }
 
-void warm_up_rule::first_contact(const model::InstanceEntry& instance, common::Instant now) {
+void warm_up_rule::on_first_contact(const model::InstanceEntry& instance, common::Instant now) {
   if (this->cold.warm_up_of(instance.service) != nullptr) {
-    this->cold.note_first_contact(instance.id, now);
+    this->cold.on_first_contact(instance.id, now);
   }
 }
 
 void warm_up_rule::advance(common::Instant now) {
-  this->cold.forget_old(now);
+  this->cold.remove_expired(now);
   std::erase_if(this->windows, [&](const auto& each) { return each.second.count(now) == 0; });
 }
 
-void warm_up_rule::zone_returned(const std::string& zone, common::Instant now) {
+void warm_up_rule::on_evacuation_ended(const std::string& zone, common::Instant now) {
   if (this->enabled()) {
-    this->cold.note_zone_returned(zone, now);
+    this->cold.on_evacuation_ended(zone, now);
   }
 }
 
--- a/tests/evacuation/evacuation_rule_test.cc
+++ b/tests/evacuation/evacuation_rule_test.cc
@@ -12,15 +12,15 @@
 
 constexpr common::Instant START{100'000'000};
 constexpr common::Duration LIMIT = std::chrono::seconds(5);
-constexpr common::Duration UNTIL_CLOSED = LIMIT - LIMIT / MARGIN_PART;
+constexpr common::Duration UNTIL_CLOSED = LIMIT - LIMIT / MARGIN_DIVISOR;
 
 /** A daemon that knew all zones to be in use at START, and hears of an evacuation then. */
 struct rule_fixture {
   rule_fixture() { this->entry.zone = "north"; }
 
   void evacuate() {
-    this->tracker.take({5, {}, START});
-    this->tracker.take({9, {"north"}, START + milliseconds(700)});
+    this->tracker.apply({5, {}, START});
+    this->tracker.apply({9, {"north"}, START + milliseconds(700)});
   }
 
   verdict judge(common::Instant now, bool continues = false) const {
@@ -53,13 +53,13 @@
 TEST_CASE("Later news of an evacuation doesn't move its bound", "[evacuation]") {
   rule_fixture fixture;
   fixture.evacuate();
-  fixture.tracker.take({12, {"north"}, START + std::chrono::seconds(4)});
+  fixture.tracker.apply({12, {"north"}, START + std::chrono::seconds(4)});
   CHECK(fixture.judge(START + UNTIL_CLOSED) == verdict::closed);
 }
 
 TEST_CASE("Without a view from before an evacuated zone is closed at once", "[evacuation]") {
   rule_fixture fixture;
-  fixture.tracker.take({9, {"north"}, START});
+  fixture.tracker.apply({9, {"north"}, START});
   CHECK(fixture.judge(START) == verdict::closed);
 }
 
@@ -69,13 +69,13 @@
   model::InstanceEntry other;
   other.zone = "south";
   CHECK(fixture.rule.judge(other, {fixture.route, ""}, START + LIMIT).outcome == verdict::open);
-  fixture.tracker.take({13, {}, START + LIMIT});
+  fixture.tracker.apply({13, {}, START + LIMIT});
   CHECK(fixture.judge(START + LIMIT) == verdict::open);
 }
 
 TEST_CASE("A stale view closes nothing that it doesn't name", "[evacuation]") {
   rule_fixture fixture;
-  fixture.tracker.take({5, {}, START});
+  fixture.tracker.apply({5, {}, START});
   CHECK(fixture.judge(START + 10 * LIMIT) == verdict::open);
 }
 
@@ -88,9 +88,9 @@
 
 TEST_CASE("Before the first view work waits for a moment", "[evacuation]") {
   rule_fixture fixture;
-  fixture.tracker.note_work(START);
+  fixture.tracker.on_work(START);
   CHECK(fixture.judge(START) == verdict::later);
-  CHECK(fixture.judge(START + FIRST_VIEW_TIME) == verdict::open);
+  CHECK(fixture.judge(START + FIRST_VIEW_TIMEOUT) == verdict::open);
 }
 
 }  // namespace valvekeel::evacuation
--- a/tests/evacuation/read_schedule_test.cc
+++ b/tests/evacuation/read_schedule_test.cc
@@ -13,9 +13,9 @@
 constexpr common::Duration LIMIT = std::chrono::seconds(5);
 constexpr common::Duration STEP = milliseconds(10);
 
-const read_duty READER{true, true, true, true};
-const read_duty OWNER{false, true, false, true};
-const read_duty RELAY{false, false, false, true};
+const read_conditions READER{true, true, true, true};
+const read_conditions OWNER{false, true, false, true};
+const read_conditions RELAY{false, false, false, true};
 
 /**
  * Runs a schedule for ten seconds, each read answered at once.
@@ -23,21 +23,21 @@
  * @param heard  whether another daemon's view of this instant is heard again and again
  * @return number of reads
  */
-int reads_in_ten_seconds(const read_duty& duty, bool heard, bool answered = true) {
+int reads_in_ten_seconds(const read_conditions& duty, bool heard, bool answered = true) {
   read_schedule schedule(LIMIT);
   view_tracker tracker;
-  tracker.take({1, {}, START});
+  tracker.apply({1, {}, START});
   int reads = 0;
   for (common::Instant now = START; now < START + std::chrono::seconds(10); now += STEP) {
     if (heard) {
-      tracker.take({1, {}, now});
+      tracker.apply({1, {}, now});
     }
     if (!schedule.start(duty, tracker, now)) {
       continue;
     }
     ++reads;
     if (const auto read_at = schedule.finish(answered ? std::optional(1) : std::nullopt)) {
-      tracker.take({1, {}, *read_at});
+      tracker.apply({1, {}, *read_at});
     }
   }
   return reads;
@@ -76,7 +76,7 @@
 TEST_CASE("An answer older than what was known proves nothing", "[evacuation]") {
   read_schedule schedule(LIMIT);
   view_tracker tracker;
-  tracker.take({9, {}, START});
+  tracker.apply({9, {}, START});
   REQUIRE(schedule.start(READER, tracker, START));
   CHECK_FALSE(schedule.finish(8));
   CHECK(schedule.start(READER, tracker, START + std::chrono::seconds(1)));
--- a/tests/evacuation/view_tracker_test.cc
+++ b/tests/evacuation/view_tracker_test.cc
@@ -15,73 +15,73 @@
 
 TEST_CASE("A zone was in use when the last view without it was read", "[evacuation]") {
   view_tracker tracker;
-  tracker.take({5, {}, START});
-  tracker.take({5, {}, START + milliseconds(400)});
-  const view_change change = tracker.take({9, {"north"}, START + milliseconds(900)});
+  tracker.apply({5, {}, START});
+  tracker.apply({5, {}, START + milliseconds(400)});
+  const view_change change = tracker.apply({9, {"north"}, START + milliseconds(900)});
   CHECK(change.begun == std::vector<std::string>{"north"});
-  CHECK(tracker.evacuated("north"));
+  CHECK(tracker.is_evacuated("north"));
   CHECK(tracker.in_use_at("north") == START + milliseconds(400));
 }
 
 TEST_CASE("Of a zone that the first view names nothing is known from before", "[evacuation]") {
   view_tracker tracker;
-  tracker.take({9, {"north"}, START});
-  CHECK(tracker.evacuated("north"));
+  tracker.apply({9, {"north"}, START});
+  CHECK(tracker.is_evacuated("north"));
   CHECK_FALSE(tracker.in_use_at("north"));
 }
 
 TEST_CASE("A lower revision never brings an evacuation back, or ends one", "[evacuation]") {
   view_tracker tracker;
-  tracker.take({9, {"north"}, START});
-  CHECK(tracker.take({8, {"south"}, START + milliseconds(100)}).empty());
-  CHECK(tracker.evacuated("north"));
-  CHECK_FALSE(tracker.evacuated("south"));
+  tracker.apply({9, {"north"}, START});
+  CHECK(tracker.apply({8, {"south"}, START + milliseconds(100)}).empty());
+  CHECK(tracker.is_evacuated("north"));
+  CHECK_FALSE(tracker.is_evacuated("south"));
   CHECK(tracker.newest()->revision == 9);
 }
 
 TEST_CASE("A lower revision still shows that a zone was in use when it was read", "[evacuation]") {
   view_tracker tracker;
-  tracker.take({5, {}, START});
-  tracker.take({9, {"north"}, START + milliseconds(100)});
-  tracker.take({7, {}, START + milliseconds(200)});
+  tracker.apply({5, {}, START});
+  tracker.apply({9, {"north"}, START + milliseconds(100)});
+  tracker.apply({7, {}, START + milliseconds(200)});
   CHECK(tracker.in_use_at("north") == START + milliseconds(200));
 }
 
 TEST_CASE("An equal revision only makes the view fresher", "[evacuation]") {
   view_tracker tracker;
-  tracker.take({5, {}, START});
-  tracker.take({5, {}, START - milliseconds(300)});
+  tracker.apply({5, {}, START});
+  tracker.apply({5, {}, START - milliseconds(300)});
   CHECK(tracker.age(START + milliseconds(50)) == milliseconds(50));
-  tracker.take({5, {}, START + milliseconds(20)});
+  tracker.apply({5, {}, START + milliseconds(20)});
   CHECK(tracker.age(START + milliseconds(50)) == milliseconds(30));
 }
 
 TEST_CASE("A view that ends an evacuation says so once", "[evacuation]") {
   view_tracker tracker;
-  tracker.take({5, {"north", "south"}, START});
-  CHECK(tracker.take({6, {"south"}, START}).ended == std::vector<std::string>{"north"});
-  CHECK(tracker.take({7, {"south"}, START}).empty());
-  CHECK_FALSE(tracker.evacuated("north"));
-  CHECK(tracker.evacuated("south"));
+  tracker.apply({5, {"north", "south"}, START});
+  CHECK(tracker.apply({6, {"south"}, START}).ended == std::vector<std::string>{"north"});
+  CHECK(tracker.apply({7, {"south"}, START}).empty());
+  CHECK_FALSE(tracker.is_evacuated("north"));
+  CHECK(tracker.is_evacuated("south"));
 }
 
 TEST_CASE("Evacuated anew, a zone counts from the view in between", "[evacuation]") {
   view_tracker tracker;
-  tracker.take({5, {"north"}, START});
-  tracker.take({6, {}, START + milliseconds(100)});
-  tracker.take({7, {"north"}, START + milliseconds(200)});
+  tracker.apply({5, {"north"}, START});
+  tracker.apply({6, {}, START + milliseconds(100)});
+  tracker.apply({7, {"north"}, START + milliseconds(200)});
   CHECK(tracker.in_use_at("north") == START + milliseconds(100));
 }
 
 TEST_CASE("Only the first work of a life waits for a view, and not for long", "[evacuation]") {
   view_tracker tracker;
-  CHECK(tracker.awaits_first(START));
-  tracker.note_work(START);
-  tracker.note_work(START + milliseconds(500));
-  CHECK(tracker.awaits_first(START + milliseconds(999)));
-  CHECK_FALSE(tracker.awaits_first(START + milliseconds(1'000)));
-  tracker.take({5, {}, START});
-  CHECK_FALSE(tracker.awaits_first(START));
+  CHECK(tracker.awaits_first_view(START));
+  tracker.on_work(START);
+  tracker.on_work(START + milliseconds(500));
+  CHECK(tracker.awaits_first_view(START + milliseconds(999)));
+  CHECK_FALSE(tracker.awaits_first_view(START + milliseconds(1'000)));
+  tracker.apply({5, {}, START});
+  CHECK_FALSE(tracker.awaits_first_view(START));
 }
 
 }  // namespace valvekeel::evacuation
--- a/tests/proxy/backend_set_test.cc
+++ b/tests/proxy/backend_set_test.cc
@@ -20,11 +20,11 @@
 };
 
 /// Counts the notifications about an instance's starts.
-class CountingWarmUpObserver : public warm_up::life_observer {
+class CountingWarmUpObserver : public warm_up::warm_up_observer {
  public:
-  void may_have_restarted(const model::InstanceEntry&, Instant) override { ++restarts; }
-  void same_life(const model::InstanceEntry&) override { ++same_lives; }
-  void first_contact(const model::InstanceEntry&, Instant) override { ++contacts; }
+  void on_possible_restart(const model::InstanceEntry&, Instant) override { ++restarts; }
+  void on_restart_ruled_out(const model::InstanceEntry&) override { ++same_lives; }
+  void on_first_contact(const model::InstanceEntry&, Instant) override { ++contacts; }
 
   int restarts = 0;
   int same_lives = 0;
--- a/tests/proxy/dispatcher_access_test.cc
+++ b/tests/proxy/dispatcher_access_test.cc
@@ -356,7 +356,7 @@
   }
 
   void MakeCold(const std::string& id) {
-    warm_up.may_have_restarted(backends.Find(id)->Entry(), kStart);
+    warm_up.on_possible_restart(backends.Find(id)->Entry(), kStart);
   }
 
   warm_up::warm_up_rule warm_up{"d", {1.5, 5}};
--- a/tests/proxy/proxy_evacuation_test.cc
+++ b/tests/proxy/proxy_evacuation_test.cc
@@ -104,14 +104,14 @@
   fixture.ReceiveView(
       5, {},
       milliseconds(100));  // the peer has confirmed no message yet: the age has no reference
-  CHECK_FALSE(fixture.proxy.Evacuations().known());
+  CHECK_FALSE(fixture.proxy.Evacuations().has_view());
   REQUIRE_FALSE(fixture.sent_messages.empty());
   const Instant sent_at = fixture.now;
   fixture.now += milliseconds(60);
   fixture.ReceiveView(5, {"north"}, milliseconds(100));
-  REQUIRE(fixture.proxy.Evacuations().known());
+  REQUIRE(fixture.proxy.Evacuations().has_view());
   CHECK(fixture.proxy.Evacuations().newest()->read_at == sent_at - milliseconds(100));
-  CHECK(fixture.proxy.Evacuations().evacuated("north"));
+  CHECK(fixture.proxy.Evacuations().is_evacuated("north"));
   fixture.Advance(milliseconds(40));
   const evacuation::view_message& message = fixture.sent_messages.back().evacuations;
   CHECK(message.revision == 5);
@@ -149,7 +149,7 @@
   const Instant asked_at = fixture.now;
   fixture.now += milliseconds(5);
   fixture.AnswerRead(metadata::ReadStatus::kOk, 5, {"north"});
-  REQUIRE(fixture.proxy.Evacuations().known());
+  REQUIRE(fixture.proxy.Evacuations().has_view());
   CHECK(fixture.proxy.Evacuations().newest()->read_at == asked_at);
 }
 
@@ -161,7 +161,7 @@
   const auto status = GENERATE(metadata::ReadStatus::kRefused, metadata::ReadStatus::kNoAnswer,
                                metadata::ReadStatus::kHistoryGone);
   fixture.AnswerRead(status, 9, {"north"});
-  CHECK_FALSE(fixture.proxy.Evacuations().known());
+  CHECK_FALSE(fixture.proxy.Evacuations().has_view());
   CHECK(fixture.Logged("evacuations_read_failed"));
   fixture.Advance(milliseconds(810));
   CHECK(fixture.reads.size() == 2);  // it reads again
@@ -208,7 +208,7 @@
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
   fixture.AnswerRead(metadata::ReadStatus::kOk, {500, 1}, {"north"});
-  REQUIRE(fixture.proxy.Evacuations().evacuated("north"));
+  REQUIRE(fixture.proxy.Evacuations().is_evacuated("north"));
   std::size_t answered = fixture.reads.size();
   const auto answer_next = [&](std::uint64_t number, const std::vector<std::string>& zones) {
     for (int step = 0; step < 500 && fixture.reads.size() == answered; ++step) {
@@ -218,13 +218,13 @@
     fixture.AnswerRead(metadata::ReadStatus::kOk, {number, 2}, zones);
   };
   answer_next(440, {});
-  CHECK(fixture.proxy.Evacuations().evacuated("north"));
+  CHECK(fixture.proxy.Evacuations().is_evacuated("north"));
   // It was written again, and is withdrawn at a revision below the one known before.
   fixture.Advance(std::chrono::seconds(3));
   answer_next(441, {"north"});
-  CHECK(fixture.proxy.Evacuations().evacuated("north"));
+  CHECK(fixture.proxy.Evacuations().is_evacuated("north"));
   answer_next(442, {});
-  CHECK_FALSE(fixture.proxy.Evacuations().evacuated("north"));
+  CHECK_FALSE(fixture.proxy.Evacuations().is_evacuated("north"));
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/warm_up/cold_instances_test.cc
+++ b/tests/warm_up/cold_instances_test.cc
@@ -40,54 +40,54 @@
 
 TEST_CASE("An entry's time counts from its arrival", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_entry(entry_of("a", 2 * SECOND), START);
+  fixture.cold.apply_entry(entry_of("a", 2 * SECOND), START);
   CHECK(fixture.cold.find(fixture.entry, START + 2 * SECOND - common::Duration(1)));
   CHECK_FALSE(fixture.cold.find(fixture.entry, START + 2 * SECOND));
 }
 
 TEST_CASE("An entry that says warm ends what an earlier one said", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_entry(entry_of("a", 2 * SECOND), START);
-  fixture.cold.note_entry(entry_of("a", common::Duration(0)), START + SECOND);
+  fixture.cold.apply_entry(entry_of("a", 2 * SECOND), START);
+  fixture.cold.apply_entry(entry_of("a", common::Duration(0)), START + SECOND);
   CHECK_FALSE(fixture.cold.find(fixture.entry, START + SECOND));
 }
 
 TEST_CASE("An instance that starts again while it is cold is cold anew", "[warm_up]") {
   // Found by the simulator (large days 13 and 14): the second entry tells the same time left.
   cold_fixture fixture;
-  fixture.cold.note_entry(entry_of("a", WARM_UP_TIME), START);
-  fixture.cold.note_entry(entry_of("a", WARM_UP_TIME), START + 4 * SECOND);
+  fixture.cold.apply_entry(entry_of("a", WARM_UP_TIME), START);
+  fixture.cold.apply_entry(entry_of("a", WARM_UP_TIME), START + 4 * SECOND);
   CHECK(fixture.cold.find(fixture.entry, START + 9 * SECOND));
 }
 
 TEST_CASE("An entry that says warm does not end a presumption", "[warm_up]") {
   // It may have been written before the instance started again.
   cold_fixture fixture;
-  fixture.cold.note_restart("a", START);
-  fixture.cold.note_entry(fixture.entry, START + SECOND);
+  fixture.cold.on_possible_restart("a", START);
+  fixture.cold.apply_entry(fixture.entry, START + SECOND);
   const auto found = fixture.cold.find(fixture.entry, START + SECOND);
   REQUIRE(found);
   CHECK(found->until == START + WARM_UP_TIME);
-  CHECK(found->source == cold_source::may_be_new);
+  CHECK(found->source == cold_source::possible_restart);
 }
 
 TEST_CASE("An instance that lives on is not cold", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_restart("a", START);
-  fixture.cold.note_same_life("a");
+  fixture.cold.on_possible_restart("a", START);
+  fixture.cold.on_restart_ruled_out("a");
   CHECK_FALSE(fixture.cold.find(fixture.entry, START));
 }
 
 TEST_CASE("An instance that flaps is cold after each return", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_restart("a", START);
-  fixture.cold.note_restart("a", START + 5 * SECOND);
+  fixture.cold.on_possible_restart("a", START);
+  fixture.cold.on_possible_restart("a", START + 5 * SECOND);
   CHECK(fixture.cold.find(fixture.entry, START + 10 * SECOND));
 }
 
 TEST_CASE("Instances of a zone are cold after its evacuation, others are not", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_zone_returned("near", START);
+  fixture.cold.on_evacuation_ended("near", START);
   CHECK(fixture.cold.find(fixture.entry, START + WARM_UP_TIME - common::Duration(1)));
   CHECK_FALSE(fixture.cold.find(fixture.entry, START + WARM_UP_TIME));
   model::InstanceEntry elsewhere = fixture.entry;
@@ -98,43 +98,43 @@
 TEST_CASE("An instance that was not watched is cold until entries are known to be fresh",
           "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_first_contact("a", START);
-  CHECK(fixture.cold.wants_fresh());
-  fixture.cold.note_fresh(START - common::Duration(1));
+  fixture.cold.on_first_contact("a", START);
+  CHECK(fixture.cold.needs_refresh());
+  fixture.cold.on_entries_refreshed(START - common::Duration(1));
   CHECK(fixture.cold.find(fixture.entry, START));
-  fixture.cold.note_fresh(START);
+  fixture.cold.on_entries_refreshed(START);
   CHECK_FALSE(fixture.cold.find(fixture.entry, START));
-  CHECK_FALSE(fixture.cold.wants_fresh());
+  CHECK_FALSE(fixture.cold.needs_refresh());
 }
 
 TEST_CASE("Without an answer of the store entries count after a while", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_first_contact("a", START);
-  CHECK_FALSE(fixture.cold.find(fixture.entry, START + ENTRY_DELAY));
+  fixture.cold.on_first_contact("a", START);
+  CHECK_FALSE(fixture.cold.find(fixture.entry, START + MAX_ENTRY_DELAY));
 }
 
 TEST_CASE("Entries that were fresh a moment ago are not asked for again", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_fresh(START);
-  fixture.cold.note_first_contact("a", START + FRESH_ENOUGH - common::Duration(1));
-  CHECK_FALSE(fixture.cold.wants_fresh());
+  fixture.cold.on_entries_refreshed(START);
+  fixture.cold.on_first_contact("a", START + MAX_FRESH_AGE - common::Duration(1));
+  CHECK_FALSE(fixture.cold.needs_refresh());
 }
 
 TEST_CASE("An instance of a service without a warm-up is never cold", "[warm_up]") {
   cold_fixture fixture;
   model::InstanceEntry other = entry_of("b", 2 * SECOND);
   other.service = "archive";
-  fixture.cold.note_entry(other, START);
-  fixture.cold.note_restart("b", START);
-  fixture.cold.note_zone_returned("near", START);
+  fixture.cold.apply_entry(other, START);
+  fixture.cold.on_possible_restart("b", START);
+  fixture.cold.on_evacuation_ended("near", START);
   CHECK_FALSE(fixture.cold.find(other, START));
 }
 
 TEST_CASE("What is over is forgotten", "[warm_up]") {
   cold_fixture fixture;
-  fixture.cold.note_first_contact("a", START);
-  fixture.cold.forget_old(START + ENTRY_DELAY);
-  CHECK_FALSE(fixture.cold.wants_fresh());
+  fixture.cold.on_first_contact("a", START);
+  fixture.cold.remove_expired(START + MAX_ENTRY_DELAY);
+  CHECK_FALSE(fixture.cold.needs_refresh());
 }
 
 }  // namespace valvekeel::warm_up
--- a/tests/warm_up/send_window_test.cc
+++ b/tests/warm_up/send_window_test.cc
@@ -26,16 +26,16 @@
   window.add(2, START);
   window.add(6, START + 100 * MILLISECOND);
   const common::Instant now = START + 200 * MILLISECOND;
-  CHECK(window.room_at(8, 1, now) == START + SEND_WINDOW);
-  CHECK(window.room_at(8, 3, now) == START + 100 * MILLISECOND + SEND_WINDOW);
-  CHECK(window.room_at(9, 1, now) == now);
+  CHECK(window.earliest_send_time(8, 1, now) == START + SEND_WINDOW);
+  CHECK(window.earliest_send_time(8, 3, now) == START + 100 * MILLISECOND + SEND_WINDOW);
+  CHECK(window.earliest_send_time(9, 1, now) == now);
 }
 
 TEST_CASE("An empty window has room for more than its limit", "[warm_up]") {
   send_window window;
-  CHECK(window.room_at(1, 2, START) == START);
+  CHECK(window.earliest_send_time(1, 2, START) == START);
   window.add(2, START);
-  CHECK(window.room_at(1, 2, START) == START + SEND_WINDOW);
+  CHECK(window.earliest_send_time(1, 2, START) == START + SEND_WINDOW);
 }
 
 }  // namespace valvekeel::warm_up
--- a/tests/warm_up/warm_up_rule_test.cc
+++ b/tests/warm_up/warm_up_rule_test.cc
@@ -35,7 +35,7 @@
   explicit rule_fixture(bool is_first = true)
       : rule(is_first == (*first_sender(OWNERS, "a") == "d1") ? "d1" : "d2", ALLOWED) {
     this->rule.instances().set_services(services());
-    for (common::Instant at = START - HAND_OVER; at <= START; at += 100 * MILLISECOND) {
+    for (common::Instant at = START - HANDOVER_TIME; at <= START; at += 100 * MILLISECOND) {
       this->update(at);
     }
   }
@@ -47,7 +47,7 @@
   void tell_cold(const std::string& id, common::Duration left, common::Instant at = START) {
     model::InstanceEntry entry = instance(id);
     entry.warm_up_left = left;
-    this->rule.instances().note_entry(entry, at);
+    this->rule.instances().apply_entry(entry, at);
   }
 
   access::answer judge(const std::string& id, common::Instant at = START, bool continues = false) {
@@ -135,7 +135,7 @@
   fixture.tell_cold("a", 6 * SECOND);
   const access::answer held = fixture.judge("a");
   CHECK(held.outcome == access::verdict::later);
-  CHECK(held.come_back == HELD_BACK_PAUSE);
+  CHECK(held.come_back == COLD_RETRY_AFTER);
   CHECK(fixture.judge("a", START + 6 * SECOND - 10 * MILLISECOND).come_back == 10 * MILLISECOND);
 }
 
@@ -147,7 +147,7 @@
   // The second takes the first for lost, which lives on and hears all.
   const std::string self = *first_sender(OWNERS, "a") == "d1" ? "d2" : "d1";
   common::Instant at = START;
-  for (; at <= START + HAND_OVER; at += 100 * MILLISECOND) {
+  for (; at <= START + HANDOVER_TIME; at += 100 * MILLISECOND) {
     second.rule.role().update({{"ledger", {self}}}, {1, 2, 0, 0}, at);
     first.update(at);
   }
@@ -168,15 +168,15 @@
 
 TEST_CASE("While fresh entries are on their way, work waits a moment", "[warm_up]") {
   rule_fixture fixture(false);
-  fixture.rule.first_contact(instance("a"), START);
-  CHECK(fixture.judge("a").come_back == REFRESH_PAUSE);
-  CHECK(fixture.judge("a", START + REFRESH_TIME).come_back == HELD_BACK_PAUSE);
+  fixture.rule.on_first_contact(instance("a"), START);
+  CHECK(fixture.judge("a").come_back == REFRESH_RETRY_AFTER);
+  CHECK(fixture.judge("a", START + REFRESH_TIMEOUT).come_back == COLD_RETRY_AFTER);
 }
 
 TEST_CASE("A cold primary leads badly by its own word alone", "[warm_up]") {
   rule_fixture fixture;
   CHECK(fixture.rule.judge_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
-  fixture.rule.may_have_restarted(instance("a"), START);
+  fixture.rule.on_possible_restart(instance("a"), START);
   CHECK(fixture.rule.judge_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
   fixture.tell_cold("a", 6 * SECOND);
   const access::leader_answer answer = fixture.rule.judge_leader(instance("a"), START);
@@ -203,11 +203,11 @@
   warm_up_rule rule("d1", ALLOWED);
   rule.instances().set_services(services(common::Duration(0)));
   CHECK_FALSE(rule.enabled());
-  rule.may_have_restarted(instance("a"), START);
-  rule.first_contact(instance("a"), START);
-  rule.zone_returned("near", START);
+  rule.on_possible_restart(instance("a"), START);
+  rule.on_first_contact(instance("a"), START);
+  rule.on_evacuation_ended("near", START);
   rule.note_sent(instance("a"), TOLERATED, START);
-  CHECK_FALSE(rule.instances().wants_fresh());
+  CHECK_FALSE(rule.instances().needs_refresh());
   const model::Route route;
   CHECK(rule.judge(instance("a"), {route, "", false}, START).outcome == access::verdict::open);
   // It is switched on later: nothing of before counts.
