--- a/tests/proxysim/evacuation_test.cc
+++ b/tests/proxysim/evacuation_test.cc
@@ -84,7 +84,7 @@
   /// @return true if all daemons know of the evacuation.
   bool AllKnow() {
     return std::all_of(cluster.Daemons().begin(), cluster.Daemons().end(), [&](const auto& daemon) {
-      return daemon->Decisions()->Evacuations().evacuated(zone);
+      return daemon->Decisions()->Evacuations().is_evacuated(zone);
     });
   }
 
