--- a/src/evacuation/evacuation_rule.cc
+++ b/src/evacuation/evacuation_rule.cc
@@ -3,11 +3,11 @@
 namespace valvekeel::evacuation {
 namespace {
 
-/** Time after which callers of a closed zone may come back: most evacuations last for seconds. */
-constexpr common::Duration CLOSED_COME_BACK{1'000'000};
+/** Retry-after for callers of a closed zone: most evacuations last for seconds. */
+constexpr common::Duration CLOSED_RETRY_AFTER{1'000'000};
 
-/** The same while the first view is awaited: a few answers of the store (4 ms) and ticks. */
-constexpr common::Duration UNKNOWN_COME_BACK{30'000};
+/** The same before the first view: a few responses of the store (4 ms each) and ticks. */
+constexpr common::Duration UNKNOWN_RETRY_AFTER{30'000};
 
 }  // namespace
 
@@ -23,13 +23,13 @@
 access::answer evacuation_rule::judge(const model::InstanceEntry& instance,
                                       const access::work& asked, common::Instant now) const {
   if (this->tracker.awaits_first_view(now)) {
-    return {access::verdict::later, VIEW_UNKNOWN, UNKNOWN_COME_BACK};
+    return {access::verdict::later, VIEW_UNKNOWN, UNKNOWN_RETRY_AFTER};
   }
   if (!this->tracker.is_evacuated(instance.zone)) {
     return {};
   }
   if (this->is_closed(instance.zone, now)) {
-    return {access::verdict::closed, EVACUATED, CLOSED_COME_BACK};
+    return {access::verdict::closed, EVACUATED, CLOSED_RETRY_AFTER};
   }
   if (asked.continues_transaction) {
     return {};
--- a/src/evacuation/evacuation_rule.h
+++ b/src/evacuation/evacuation_rule.h
@@ -1,9 +1,9 @@
 /**
- * @file Keeps work off the instances of evacuated zones; see docs/design/evacuation.md.
+ * @file Keeps work away from the instances of evacuated zones; see docs/design/evacuation.md.
  *
- * Owns: nothing; it asks the tracker. Invariant: an instance of an evacuated zone is closed at the
- * latest when the limit less the margin is over, counted from the newest instant at which the zone
- * was known to be in use. Pure. Thread: its host's.
+ * Owns: nothing; it reads the tracker. Invariant: an instance of an evacuated zone is closed at the
+ * latest after the limit less the margin, counted from the latest time at which the zone was known
+ * to be in use. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -13,22 +13,22 @@
 namespace valvekeel::evacuation {
 
 /**
- * Part of the limit (5 s on the users' sites) left for what was sent when an instance closes: an
- * eighth. It holds a tick of the daemon (10 ms), the way of a statement to the instance of a loaded
- * machine, the statement that a transaction may be running, the way of its ROLLBACK, and clocks
- * that do not run alike.
+ * The margin is the limit (typically 5 s) divided by this. It is the time left for requests that
+ * are in flight when an instance is closed: a tick of the daemon (10 ms), the delay of a statement
+ * on its way to an instance on a loaded machine, the statement that a transaction may be running,
+ * the delay of its ROLLBACK, and clock drift.
  */
 inline constexpr int MARGIN_DIVISOR = 8;
 
-/** The reason in logs and refusals. */
+/** The reasons in logs and errors. */
 inline constexpr const char* EVACUATED = "evacuated";
 inline constexpr const char* VIEW_UNKNOWN = "evacuations unknown";
 
 struct evacuation_policy {
-  /** From an evacuation's acknowledgement until nothing may reach the zone; not 0. */
+  /** Time after an evacuation's acknowledgement at which no work may reach the zone; not 0. */
   common::Duration limit{0};
   bool enforces_limit =
-      true;  // off: instances are only avoided; for tests that need the bound broken
+      true;  // false: instances are avoided, not closed; for tests of a violated limit
 };
 
 class evacuation_rule : public access::rule {
--- a/src/evacuation/read_schedule.cc
+++ b/src/evacuation/read_schedule.cc
@@ -4,45 +4,52 @@
 namespace {
 
 /**
- * Parts of the limit (5 s on the users' sites). Between two reads of the reader: with heartbeats of
- * 0.25 s both ways a view is at most a third of the limit old where it is told.
+ * The interval between two reads of the reader is the limit (typically 5 s) divided by this. With
+ * heartbeats of 0.25 s in both directions a view is at most a third of the limit old when other
+ * daemons receive it.
  */
-constexpr int READER_PART = 5;
+constexpr int READER_INTERVAL_DIVISOR = 5;
 
-/** Age of a view at which a daemon reads by itself: what the reader should have told is missing. */
-constexpr int OWN_READ_NUMERATOR = 2;
-constexpr int OWN_READ_DENOMINATOR = 5;
+/**
+ * Age of a view, as a fraction of the limit, from which a daemon reads by itself: the reader's
+ * views do not reach it.
+ */
+constexpr int OWN_READ_AGE_NUMERATOR = 2;
+constexpr int OWN_READ_AGE_DENOMINATOR = 5;
 
-/** Between two reads of a daemon that reads by itself. */
-constexpr int OWN_PAUSE_PART = 8;
+/** The interval between two own reads of a daemon is the limit divided by this. */
+constexpr int OWN_READ_INTERVAL_DIVISOR = 8;
 
-/** The same while the store does not answer: calls are paid for although they are refused. */
-constexpr common::Duration FAILED_PAUSE{800'000};
+/** The same while the store does not answer: calls are billed even if they are refused. */
+constexpr common::Duration FAILED_READ_INTERVAL{800'000};
 
-/** The same before the first view of a life, which work waits for. */
-constexpr common::Duration FIRST_PAUSE{300'000};
+/** The same before the first view after a start of the daemon, for which work waits. */
+constexpr common::Duration FIRST_READ_INTERVAL{300'000};
 
 }  // namespace
 
-bool read_schedule::due(const read_conditions& duty, const view_tracker& tracker,
+bool read_schedule::due(const read_conditions& conditions, const view_tracker& tracker,
                         common::Instant now) const {
-  const auto since = this->sent_at ? std::optional(now - *this->sent_at) : std::nullopt;
-  if (duty.is_reader) {
-    return !since || *since >= this->limit / READER_PART;
+  const auto since_last = this->sent_at ? std::optional(now - *this->sent_at) : std::nullopt;
+  if (conditions.is_reader) {
+    return !since_last || *since_last >= this->limit / READER_INTERVAL_DIVISOR;
   }
-  if (!duty.sends_work && !duty.coordinates) {
+  if (!conditions.sends_work && !conditions.coordinates) {
     return false;
   }
   const auto age = tracker.age(now);
-  const bool old = !age || *age >= this->limit * OWN_READ_NUMERATOR / OWN_READ_DENOMINATOR;
-  const common::Duration retry = age ? this->limit / OWN_PAUSE_PART : FIRST_PAUSE;
-  const common::Duration pause = this->failed || !duty.store_connected ? FAILED_PAUSE : retry;
-  return old && (!since || *since >= pause);
+  const bool outdated =
+      !age || *age >= this->limit * OWN_READ_AGE_NUMERATOR / OWN_READ_AGE_DENOMINATOR;
+  const common::Duration normal_interval =
+      age ? this->limit / OWN_READ_INTERVAL_DIVISOR : FIRST_READ_INTERVAL;
+  const common::Duration interval =
+      this->failed || !conditions.store_connected ? FAILED_READ_INTERVAL : normal_interval;
+  return outdated && (!since_last || *since_last >= interval);
 }
 
-bool read_schedule::start(const read_conditions& duty, const view_tracker& tracker,
+bool read_schedule::start(const read_conditions& conditions, const view_tracker& tracker,
                           common::Instant now) {
-  if (this->reading || !this->due(duty, tracker, now)) {
+  if (this->reading || !this->due(conditions, tracker, now)) {
     return false;
   }
   this->reading = true;
--- a/src/evacuation/view_tracker.cc
+++ b/src/evacuation/view_tracker.cc
@@ -4,14 +4,14 @@
 
 namespace valvekeel::evacuation {
 
-view_change view_tracker::apply(const zone_view& taken) {
-  if (!this->view || taken.revision > this->view->revision) {
-    return this->replace(taken);
+view_change view_tracker::apply(const zone_view& received) {
+  if (!this->view || received.revision > this->view->revision) {
+    return this->replace(received);
   }
-  if (taken.revision == this->view->revision) {
-    this->view->read_at = std::max(this->view->read_at, taken.read_at);
+  if (received.revision == this->view->revision) {
+    this->view->read_at = std::max(this->view->read_at, received.read_at);
   }
-  this->record_in_use(taken);
+  this->record_in_use(received);
   return {};
 }
 
@@ -34,7 +34,8 @@
       }
     }
   }
-  // What held at both instants is proved for the later one only if both reads showed the same.
+  // The newest view is proved valid as of the later of the two reads only if both show the same
+  // zones.
   const bool same = this->view && this->view->zones == newer.zones;
   const common::Instant read_at =
       same ? std::max(this->view->read_at, newer.read_at) : newer.read_at;
--- a/src/evacuation/view_tracker.h
+++ b/src/evacuation/view_tracker.h
@@ -1,12 +1,14 @@
 /**
- * @file Which zones are evacuated, by the newest view, and when each was last known not to be.
+ * @file Tracks which zones are evacuated, and when each was last known to be in use.
  *
- * Views come from this daemon's own reads and from other daemons, in any order. A higher revision
- * replaces the view; an equal one may only show that it still held later; a lower one changes
- * nothing but the instants at which zones were known to be in use.
+ * Views come from this daemon's own reads and from other daemons, in any order. A view of a higher
+ * revision replaces the newest one. One of the same revision can only show that the view was still
+ * valid at a later time. One of a lower revision only changes the times at which zones were known
+ * to be in use.
  *
- * Owns: the newest view. Invariants: its revision never falls; an instant at which a zone was in
- * use is never later than the read that shows it. Pure. Thread: its host's.
+ * Owns: the newest view. Invariants: its revision never decreases; the time at which a zone was
+ * known to be in use is never later than the read that shows it. No I/O and no clock; not
+ * thread-safe.
  */
 #pragma once
 
@@ -19,17 +21,18 @@
 namespace valvekeel::evacuation {
 
 /**
- * Longest time for which the first work of a daemon waits for its first view: a hundred answers of
- * a store in order. A store that does not answer keeps no daemon from serving for longer.
+ * Longest time for which the first work of a daemon waits for its first view: a hundred response
+ * times of a healthy store. A store that does not answer prevents no daemon from serving for
+ * longer.
  */
 inline constexpr common::Duration FIRST_VIEW_TIMEOUT{1'000'000};
 
 class view_tracker {
  public:
-  /** Takes a view. @return what it changed. */
+  /** Applies a view. @return the evacuations that it begins and ends. */
   view_change apply(const zone_view& view);
 
-  /** This daemon is to send work: from now on the first view is waited for. */
+  /** This daemon is about to send work; the first call starts FIRST_VIEW_TIMEOUT. */
   void on_work(common::Instant now);
 
   /** @return true if work must wait for the first view. */
@@ -42,10 +45,10 @@
 
   bool is_evacuated(const std::string& zone) const;
 
-  /** @return the newest instant at which an evacuated zone was known to be in use, if any. */
+  /** @return the latest time at which an evacuated zone was known to be in use, if any. */
   std::optional<common::Instant> in_use_at(const std::string& zone) const;
 
-  /** @return time since the view is known to have held; nothing before the first. */
+  /** @return time since the view was last known to be valid; nothing before the first view. */
   std::optional<common::Duration> age(common::Instant now) const;
 
   /** @return the view for other daemons. */
@@ -56,7 +59,7 @@
   void record_in_use(const zone_view& older);
 
   std::optional<zone_view> view;
-  std::map<std::string, common::Instant> last_in_use;  // of evacuated zones that were seen in use
+  std::map<std::string, common::Instant> last_in_use;  // by evacuated zone, if known
   std::optional<common::Instant> first_work_at;
 };
 
--- a/src/evacuation/zone_view.h
+++ b/src/evacuation/zone_view.h
@@ -1,8 +1,8 @@
 /**
- * @file Which zones operators have evacuated, as one read of the store showed it.
+ * @file Values for the zones that operators have evacuated, as shown by one read of the store.
  *
- * Owns: the values. Invariant: `read_at` is never later than the instant at which the store had
- * this state: it is the one at which the question was sent. Thread: any (values only).
+ * Invariant: `read_at` is never later than the time at which the store had this state, because it
+ * is the time at which the read was sent. Values only; usable from any thread.
  */
 #pragma once
 
@@ -17,21 +17,21 @@
 
 namespace valvekeel::evacuation {
 
-/** The state of the store's collection at a revision. */
+/** The store's collection of evacuations at a revision. */
 struct zone_view {
   model::Revision revision;
   std::set<std::string> zones;  // that are evacuated
   common::Instant read_at{0};   // on this daemon's clock
 };
 
-/** A view as daemons tell it to each other. */
+/** A view as daemons send it to each other. */
 struct view_message {
   model::Revision revision;
   std::vector<std::string> zones;
-  std::optional<common::Duration> age;  // since it was read; nothing: no view is told
+  std::optional<common::Duration> age;  // since it was read; nothing: there is no view
 };
 
-/** What a view changed. */
+/** The zones whose evacuations a view begins and ends. */
 struct view_change {
   std::vector<std::string> begun;
   std::vector<std::string> ended;
--- a/src/warm_up/cold_instances.cc
+++ b/src/warm_up/cold_instances.cc
@@ -5,9 +5,9 @@
 namespace valvekeel::warm_up {
 namespace {
 
-/** Takes a reason if it lasts longer than what was found before. */
-void lengthen(std::optional<cold_state>& found, common::Instant until, cold_source source,
-              common::Instant now) {
+/** Replaces the state by another one if that has not ended and lasts longer. */
+void use_if_longer(std::optional<cold_state>& found, common::Instant until, cold_source source,
+                   common::Instant now) {
   if (until > now && (!found || until > found->until)) {
     found = cold_state{until, source};
   }
@@ -95,19 +95,19 @@
   }
   std::optional<cold_state> found;
   if (const auto until = this->reported_until(entry, now)) {
-    lengthen(found, *until, cold_source::entry, now);
+    use_if_longer(found, *until, cold_source::entry, now);
   }
   const auto restart = this->possible_restarts.find(entry.id);
   if (restart != this->possible_restarts.end()) {
-    lengthen(found, restart->second + warm_up->time, cold_source::possible_restart, now);
+    use_if_longer(found, restart->second + warm_up->time, cold_source::possible_restart, now);
   }
   const auto returned = this->ended_evacuations.find(entry.zone);
   if (returned != this->ended_evacuations.end()) {
-    lengthen(found, returned->second + warm_up->time, cold_source::evacuation_ended, now);
+    use_if_longer(found, returned->second + warm_up->time, cold_source::evacuation_ended, now);
   }
   const auto contact = this->first_contacts.find(entry.id);
   if (contact != this->first_contacts.end()) {
-    lengthen(found, contact->second + MAX_ENTRY_DELAY, cold_source::stale_entries, now);
+    use_if_longer(found, contact->second + MAX_ENTRY_DELAY, cold_source::stale_entries, now);
   }
   return found;
 }
--- a/src/warm_up/cold_instances.h
+++ b/src/warm_up/cold_instances.h
@@ -1,13 +1,16 @@
 /**
- * @file Which instances have started so lately that they are to be spared.
+ * @file Tracks which instances have started recently and are still warming up (are cold).
  *
- * An instance tells in its entry how long it stays cold. Entries arrive late, so an instance also
- * counts as cold where it may have started since: after a break of its connections (for the whole
- * time), after its zone was evacuated (the same), and where this daemon's entries may be old (until
- * they are known to be fresh, at most ENTRY_DELAY).
+ * An instance states in its entry in the store how long it stays cold. Entries arrive late, so an
+ * instance also counts as cold if it may have restarted since its entry was written:
+ * - after its connections were lost, for the whole warm-up time;
+ * - after the evacuation of its zone ended, for the whole warm-up time;
+ * - while the entries known to this daemon may be stale, until they are refreshed, at most for
+ *   MAX_ENTRY_DELAY.
  *
- * Owns: until when each instance counts as cold. Invariant: an entry never shortens a presumption.
- * Pure. Thread: its host's.
+ * Owns: the time until which each instance counts as cold. Invariant: an entry never shortens the
+ * time for which an instance counts as cold because it may have restarted. No I/O and no clock; not
+ * thread-safe.
  */
 #pragma once
 
@@ -21,74 +24,76 @@
 namespace valvekeel::warm_up {
 
 /**
- * Longest time until an entry that was written is known to a daemon that hears from others what is
- * new: a heartbeat of a coordinator (1 s at most), the pause between two lists (0.5 s), up to three
- * lists from an old state of the store (0.3 s each), and the calls. After it a daemon that gets no
- * answer from the store goes by what it knows.
+ * Longest time from the write of an entry until a daemon that receives changes from other daemons
+ * has it: a coordinator's heartbeat interval (at most 1 s), the interval between two list calls
+ * (0.5 s), up to three list calls answered from a stale state of the store (0.3 s each), and the
+ * duration of the calls. After this time a daemon that gets no answer from the store relies on the
+ * entries that it has.
  */
 inline constexpr common::Duration MAX_ENTRY_DELAY{3'000'000};
 
 /**
- * Entries that were known so lately need not be asked for again: who serves a session of a service
- * that it does not own opens and closes connections several times a second.
+ * Entries that were complete this recently are not refreshed again. A daemon that serves a session
+ * of a service that it does not own opens and closes connections several times a second, and each
+ * would otherwise cause a refresh.
  */
 inline constexpr common::Duration MAX_FRESH_AGE{1'000'000};
 
-/** How it is known that an instance is cold. */
+/** Why an instance counts as cold. */
 enum class cold_source : std::uint8_t {
-  entry,             // it said so
-  possible_restart,  // it may have started again: connections broke, or it was not reached
-  evacuation_ended,  // its zone was evacuated until a moment ago
-  stale_entries,     // what is known of it may be old
+  entry,             // its entry states it
+  possible_restart,  // it may have restarted: connections were lost, or it was unreachable
+  evacuation_ended,  // the evacuation of its zone ended recently
+  stale_entries,     // the locally known entries may be stale
 };
 
-/** @return the name of a source, for logs. */
+/** @return the text for a source in logs. */
 const char* source_name(cold_source source);
 
 /** An instance that counts as cold. */
 struct cold_state {
   common::Instant until{0};
-  cold_source source = cold_source::entry;  // of the longest reason
+  cold_source source = cold_source::entry;  // the one that lasts longest
 };
 
-/** Time that a call for fresh entries may take before it counts as unanswered. */
+/** Time after which a call that refreshes the entries counts as unanswered. */
 inline constexpr common::Duration REFRESH_TIMEOUT{200'000};
 
-/** @return true if the instance counts as cold only until fresh entries come, which is soon. */
+/** @return true if the instance counts as cold only until a refresh in progress completes. */
 bool awaits_refresh(const cold_state& state, common::Instant now);
 
 class cold_instances {
  public:
-  /** Takes the services' warm-ups as configured. */
+  /** Sets the warm-ups from the services' configuration. */
   void set_services(const std::map<std::string, model::Service>& services);
 
-  /** @return true if some service has a warm-up; else nothing is ever cold. */
+  /** @return true if some service has a warm-up; otherwise no instance is ever cold. */
   bool enabled() const { return !this->warm_ups.empty(); }
 
   /** @return the service's warm-up, or nothing if it has none. */
   const model::WarmUp* warm_up_of(const std::string& service) const;
 
-  /** Takes an instance's entry, which has just arrived and was not known before. */
+  /** Applies an instance's entry that has just arrived; its remaining time counts from now. */
   void apply_entry(const model::InstanceEntry& entry, common::Instant now);
 
-  /** The instance's entry is gone: the next one counts in full. */
+  /** The instance's entry was removed: the remaining time of the next one counts in full. */
   void on_entry_removed(const std::string& id) { this->reported_ends.erase(id); }
 
-  /** The instance may have started again up to now. */
+  /** The instance may have restarted at any time until now. */
   void on_possible_restart(const std::string& id, common::Instant now) {
     this->possible_restarts[id] = now;
   }
 
-  /** The instance is known not to have started since its connections broke. */
+  /** The instance is known not to have restarted since its connections were lost. */
   void on_restart_ruled_out(const std::string& id) { this->possible_restarts.erase(id); }
 
-  /** From now on callers' work may go to an instance that was not watched until now. */
+  /** Callers' work may from now on go to an instance to which no connection existed before. */
   void on_first_contact(const std::string& id, common::Instant now);
 
-  /** All entries are known as they were at an instant, or later. */
+  /** The locally known entries are complete as of a time. */
   void on_entries_refreshed(common::Instant as_of);
 
-  /** @return true if fresh entries would tell of instances that count as cold for want of them. */
+  /** @return true if some instances count as cold only because the entries may be stale. */
   bool needs_refresh() const { return !this->first_contacts.empty(); }
 
   /** The evacuation of a zone has ended. */
@@ -96,19 +101,19 @@
     this->ended_evacuations[zone] = now;
   }
 
-  /** Drops what says nothing any more. */
+  /** Removes records that no longer make any instance cold. */
   void remove_expired(common::Instant now);
 
-  /** @return until when the instance counts as cold, nothing if it is warm. */
+  /** @return until when and why the instance counts as cold; nothing if it is warm. */
   std::optional<cold_state> find(const model::InstanceEntry& entry, common::Instant now) const;
 
-  /** @return until when it is cold by its own word, nothing if it does not say so. */
+  /** @return until when it is cold according to its entry; nothing if the entry does not say so. */
   std::optional<common::Instant> reported_until(const model::InstanceEntry& entry,
                                                 common::Instant now) const;
 
  private:
-  std::map<std::string, model::WarmUp> warm_ups;             // by service, those in force alone
-  std::map<std::string, common::Instant> reported_ends;      // until when, by instance
+  std::map<std::string, model::WarmUp> warm_ups;  // by service; only services with a warm-up time
+  std::map<std::string, common::Instant> reported_ends;      // from entries, by instance
   std::map<std::string, common::Instant> possible_restarts;  // by instance
   std::map<std::string, common::Instant> first_contacts;     // by instance
   std::optional<common::Instant> fresh_as_of;
--- a/src/warm_up/restart_detector.cc
+++ b/src/warm_up/restart_detector.cc
@@ -17,9 +17,9 @@
   if (!this->lost_at) {
     return false;
   }
-  const bool lived_on =
+  const bool same_incarnation =
       opened + MAX_BREAK_DETECTION_DELAY < *this->lost_at && sent >= *this->lost_at;
-  if (!lived_on) {
+  if (!same_incarnation) {
     return false;
   }
   this->lost_at.reset();
--- a/src/warm_up/restart_detector.h
+++ b/src/warm_up/restart_detector.h
@@ -1,12 +1,12 @@
 /**
- * @file Whether an instance may have started again, as its connections show.
+ * @file Detects from the connections to an instance whether it may have restarted.
  *
- * An instance that starts again breaks its connections; so does a reset on the way. A connection
- * that was there before the break and answers what was sent after it shows that the instance has
- * lived on.
+ * A restart of an instance breaks its connections; so does a reset by the network. If a connection
+ * that was opened before the break answers a request that was sent after it, the instance has not
+ * restarted.
  *
- * Owns: when connections broke last. Invariant: told at most once of each break. Pure. Thread: its
- * host's.
+ * Owns: the time of the last break. Invariant: a possible restart is reported at most once for each
+ * break. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -18,13 +18,14 @@
 namespace valvekeel::warm_up {
 
 /**
- * A connection that was opened this shortly before a break may have been opened after the start
- * that another connection learns of by the break: an idle one notices when it is used, at the
- * latest by a status request, which a silent instance gets after half a second.
+ * Longest time from a restart until its break of a connection is detected. A connection that was
+ * opened within this time before the break was detected may belong to the new incarnation: an idle
+ * connection detects the break only when it is used, at the latest by a status request, which an
+ * unresponsive instance gets after 0.5 s.
  */
 inline constexpr common::Duration MAX_BREAK_DETECTION_DELAY{2'000'000};
 
-/** Told of what the connections to instances show. */
+/** Is notified of restarts that the connections to instances suggest or rule out. */
 class warm_up_observer {
  public:
   warm_up_observer() = default;
@@ -32,30 +33,30 @@
   warm_up_observer& operator=(const warm_up_observer&) = delete;
   virtual ~warm_up_observer() = default;
 
-  /** The instance is reached again after a break: it may have started in between. */
+  /** The instance is reachable again after a break: it may have restarted in between. */
   virtual void on_possible_restart(const model::InstanceEntry& instance, common::Instant now) = 0;
 
-  /** That turned out to be wrong. */
+  /** The possible restart that was reported last did not happen. */
   virtual void on_restart_ruled_out(const model::InstanceEntry& instance) = 0;
 
-  /** The instance is reached, and was not watched by a connection until now. */
+  /** The instance is reachable, and no connection to it existed before. */
   virtual void on_first_contact(const model::InstanceEntry& instance, common::Instant now) = 0;
 };
 
 class restart_detector {
  public:
-  /** A connection broke, or the instance is not reached. */
+  /** A connection broke, or the instance is unreachable. */
   void on_connection_lost(common::Instant now);
 
-  /** A connection was opened. @return true if the instance may have started since it was seen. */
+  /** A connection was opened. @return true if the instance may have restarted since the break. */
   bool on_connection_opened();
 
   /**
    * A request was answered.
    *
-   * @param opened  when its connection was opened
+   * @param opened  when the connection of the request was opened
    * @param sent    when the request was sent
-   * @return true if the instance was doubted, and lives on
+   * @return true if a restart was suspected and is now ruled out
    */
   bool on_answer(common::Instant opened, common::Instant sent);
 
--- a/src/warm_up/send_window.cc
+++ b/src/warm_up/send_window.cc
@@ -17,16 +17,16 @@
   return total;
 }
 
-common::Instant send_window::earliest_send_time(std::size_t most, std::size_t requests,
+common::Instant send_window::earliest_send_time(std::size_t limit, std::size_t requests,
                                                 common::Instant now) const {
-  std::size_t left = this->count(now);
+  std::size_t counted = this->count(now);
   common::Instant at = now;
   for (const send_record& each : this->sent) {
-    if (left == 0 || left + requests <= most) {
+    if (counted == 0 || counted + requests <= limit) {
       break;
     }
     if (each.at + SEND_WINDOW > now) {
-      left -= each.requests;
+      counted -= each.requests;
       at = each.at + SEND_WINDOW;
     }
   }
--- a/src/warm_up/send_window.h
+++ b/src/warm_up/send_window.h
@@ -1,8 +1,8 @@
 /**
- * @file What this daemon sent to one instance in the last second.
+ * @file Counts the requests that this daemon sent to one instance within a sliding window.
  *
- * Owns: the instants of what was sent. Invariant: none is older than SEND_WINDOW after a call of
- * add. Pure. Thread: its host's.
+ * Owns: the times and numbers of the requests sent. Invariant: after a call of add, none is older
+ * than SEND_WINDOW. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -14,26 +14,28 @@
 namespace valvekeel::warm_up {
 
 /**
- * The rate holds for any second in which requests were sent and arrived. The fifth more is for a
- * statement that follows its preparation, with which it was counted: it goes out a round trip
- * later.
+ * Length of the window. The rate limit applies to any second, by the times at which requests are
+ * sent and by the times at which they arrive. The additional 0.2 s is for a statement that follows
+ * its preparation: both are counted when the preparation is sent, but the statement is sent one
+ * round trip later.
  */
 inline constexpr common::Duration SEND_WINDOW{1'200'000};
 
 class send_window {
  public:
-  /** Notes requests that are sent now. */
+  /** Records requests that are sent now. */
   void add(std::size_t requests, common::Instant now);
 
-  /** @return how many were sent within the window that ends now. */
+  /** @return the number of requests sent within the window that ends now. */
   std::size_t count(common::Instant now) const;
 
   /**
-   * @param most      that may be sent within a window
-   * @param requests  that ask for room
-   * @return when there is room; now if there is. A window without requests has room for any number.
+   * @param limit     number of requests that may be sent within a window
+   * @param requests  number of requests to be sent together
+   * @return the earliest time at which they may be sent; now if there is capacity. A window without
+   *     requests has capacity for any number.
    */
-  common::Instant earliest_send_time(std::size_t most, std::size_t requests,
+  common::Instant earliest_send_time(std::size_t limit, std::size_t requests,
                                      common::Instant now) const;
 
  private:
--- a/src/warm_up/sender_role.cc
+++ b/src/warm_up/sender_role.cc
@@ -6,12 +6,13 @@
 
 namespace valvekeel::warm_up {
 
-bool is_in_majority(const reachability& heard) {
-  const bool hears = 2 * heard.reachable >= heard.recently_reachable;
-  const bool is_heard = 2 * heard.confirming_peers >= heard.direct_peers;
-  // Cut off for long, a daemon has forgotten whom it heard; the store's list has not.
-  const bool alone = heard.reachable <= 1 && heard.listed > 2;
-  return hears && is_heard && !alone;
+bool is_in_majority(const reachability& daemons) {
+  const bool receives_majority = 2 * daemons.reachable >= daemons.recently_reachable;
+  const bool received_by_majority = 2 * daemons.confirming_peers >= daemons.direct_peers;
+  // In a long partition the other daemons drop out of the recently reachable ones, but not out of
+  // the store's list.
+  const bool isolated = daemons.reachable <= 1 && daemons.listed > 2;
+  return receives_majority && received_by_majority && !isolated;
 }
 
 const std::string* first_sender(const std::vector<std::string>& senders,
@@ -29,29 +30,29 @@
   return first;
 }
 
-void sender_role::update(const senders_by_service& senders, const reachability& heard,
+void sender_role::update(const senders_by_service& senders, const reachability& daemons,
                          common::Instant now) {
-  const bool stood_still = this->updated_at && now >= *this->updated_at + MAX_UPDATE_INTERVAL;
+  const bool paused = this->updated_at && now >= *this->updated_at + MAX_UPDATE_INTERVAL;
   this->updated_at = now;
-  if (stood_still || !is_in_majority(heard)) {
+  if (paused || !is_in_majority(daemons)) {
     this->views.clear();
   }
-  if (!is_in_majority(heard)) {
+  if (!is_in_majority(daemons)) {
     return;
   }
   if (this->views.empty() || this->views.back().senders != senders) {
     this->views.push_back({now, senders});
   }
-  // The first view kept is the one that was in force when HAND_OVER began.
+  // The first view kept is the one that was current when HANDOVER_TIME began.
   while (this->views.size() > 1 && this->views[1].since + HANDOVER_TIME <= now) {
     this->views.pop_front();
   }
 }
 
-bool sender_role::is_first(const view& seen, const std::string& service,
+bool sender_role::is_first(const view& members, const std::string& service,
                            const std::string& instance) const {
-  const auto senders = seen.senders.find(service);
-  if (senders == seen.senders.end()) {
+  const auto senders = members.senders.find(service);
+  if (senders == members.senders.end()) {
     return false;
   }
   const std::string* first = first_sender(senders->second, instance);
@@ -60,10 +61,10 @@
 
 bool sender_role::is_sender(const std::string& service, const std::string& instance,
                             common::Instant now) const {
-  const bool known = this->updated_at && now < *this->updated_at + MAX_UPDATE_INTERVAL &&
+  const bool valid = this->updated_at && now < *this->updated_at + MAX_UPDATE_INTERVAL &&
                      !this->views.empty() && this->views.front().since + HANDOVER_TIME <= now;
-  return known && std::all_of(this->views.begin(), this->views.end(), [&](const view& seen) {
-           return this->is_first(seen, service, instance);
+  return valid && std::all_of(this->views.begin(), this->views.end(), [&](const view& members) {
+           return this->is_first(members, service, instance);
          });
 }
 
--- a/src/warm_up/warm_up_rule.cc
+++ b/src/warm_up/warm_up_rule.cc
@@ -7,13 +7,13 @@
 namespace valvekeel::warm_up {
 namespace {
 
-/** Requests of a statement that begins a transaction: its begin goes first. */
-constexpr std::size_t FIRST_REQUESTS = 2;
-/** Requests of a statement within one. */
-constexpr std::size_t NEXT_REQUESTS = 1;
+/** Requests of a statement that begins a transaction: BEGIN is sent before it. */
+constexpr std::size_t FIRST_STATEMENT_REQUESTS = 2;
+/** Requests of a further statement of a transaction. */
+constexpr std::size_t NEXT_STATEMENT_REQUESTS = 1;
 
-/** @return after which a daemon that may not use the instance may try again. */
-common::Duration held_back_pause(const cold_state& state, common::Instant now) {
+/** @return the retry-after of requests that this daemon may not send to the instance. */
+common::Duration cold_retry_after(const cold_state& state, common::Instant now) {
   const common::Duration left = state.until - now;
   return std::min(left, awaits_refresh(state, now) ? REFRESH_RETRY_AFTER : COLD_RETRY_AFTER);
 }
@@ -26,8 +26,8 @@
   return static_cast<std::size_t>(std::max(0.0, std::floor(limit)));
 }
 
-warm_up_rule::warm_up_rule(std::string self, tolerance allowed, bool limited)
-    : allowed(allowed), enforces_limit(limited), sender(std::move(self)) {}
+warm_up_rule::warm_up_rule(std::string self, tolerance allowed, bool enforces_limit)
+    : allowed(allowed), enforces_limit(enforces_limit), sender(std::move(self)) {}
 
 access::answer warm_up_rule::judge(const model::InstanceEntry& instance, const access::work& asked,
                                    common::Instant now) const {
@@ -40,18 +40,19 @@
   }
   const common::Duration left = state->until - now;
   if (!this->sender.is_sender(instance.service, instance.id, now)) {
-    return {access::verdict::later, COLD_REASON, held_back_pause(*state, now)};
+    return {access::verdict::later, COLD_REASON, cold_retry_after(*state, now)};
   }
-  const std::size_t most = sending_limit(*this->cold.warm_up_of(instance.service), this->allowed);
-  if (most == 0) {
+  const std::size_t limit = sending_limit(*this->cold.warm_up_of(instance.service), this->allowed);
+  if (limit == 0) {
     return {access::verdict::later, COLD_REASON, left};
   }
-  const std::size_t requests = asked.continues_transaction ? NEXT_REQUESTS : FIRST_REQUESTS;
+  const std::size_t requests =
+      asked.continues_transaction ? NEXT_STATEMENT_REQUESTS : FIRST_STATEMENT_REQUESTS;
   const auto window = this->windows.find(instance.id);
-  const common::Instant room =
-      window == this->windows.end() ? now : window->second.earliest_send_time(most, requests, now);
-  if (room > now) {
-    return {access::verdict::later, COLD_REASON, std::min(left, room - now)};
+  const common::Instant send_at =
+      window == this->windows.end() ? now : window->second.earliest_send_time(limit, requests, now);
+  if (send_at > now) {
+    return {access::verdict::later, COLD_REASON, std::min(left, send_at - now)};
   }
   return {access::verdict::overflow, COLD_REASON, {}};
 }
@@ -61,7 +62,7 @@
   if (!this->enabled()) {
     return {};
   }
-  // What this daemon alone presumes must not move a primary.
+  // A restart that only this daemon suspects must not cause a replacement of the primary.
   const auto until = this->cold.reported_until(instance, now);
   if (!until || *until - now <= PROMOTION_TIME) {
     return {};
--- a/src/warm_up/warm_up_rule.h
+++ b/src/warm_up/warm_up_rule.h
@@ -1,13 +1,13 @@
 /**
- * @file Instances that have just started get few requests.
+ * @file Limits the requests to instances that have just started.
  *
- * While an instance is cold, one daemon alone (sender_role.h) sends it callers' requests, up to a
- * rate, and only what the warm instances have no room for. A cold primary is replaced if a warm
- * replica can take its place. See docs/design/warm-up.md.
+ * While an instance is cold, only one daemon (sender_role.h) sends it callers' requests, up to a
+ * rate, and only those for which the warm instances have no capacity. A cold primary is replaced if
+ * a warm replica is available. See docs/design/warm-up.md.
  *
- * Owns: what is known of cold instances, and what this daemon sent lately. Invariant: to a cold
- * instance this daemon sends at most sending_limit requests in a SEND_WINDOW. Pure. Thread: its
- * host's.
+ * Owns: the state of cold instances, and the numbers of requests that this daemon sent recently.
+ * Invariant: this daemon sends at most sending_limit requests to a cold instance in a SEND_WINDOW.
+ * No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -23,39 +23,40 @@
 
 namespace valvekeel::warm_up {
 
-/** Why an instance gets nothing, or should not lead. */
+/** The reason in logs and errors for which an instance gets no requests or should not lead. */
 inline constexpr const char* COLD_REASON = "cold";
 
 /**
- * After it a request that this daemon may not send is worth another try: the caller's next daemon
- * may be the one that may, or a warm instance may lead by then.
+ * Retry-after of a request that this daemon may not send to a cold instance. By then the caller may
+ * reach the daemon that may send it, or a warm instance may lead.
  */
 inline constexpr common::Duration COLD_RETRY_AFTER{300'000};
 
-/** The same while fresh entries are on their way, which takes a call to the store. */
+/** The same while the entries are being refreshed, which takes one call to the store. */
 inline constexpr common::Duration REFRESH_RETRY_AFTER{20'000};
 
 /**
- * A primary that turns warm sooner than this stays: its replacement takes about as long (fences
- * 0.3 s, promotion 0.6 s, word of it 0.4 s), and it serves up to the rate meanwhile.
+ * A cold primary that becomes warm within this time is not replaced: the replacement takes about as
+ * long (fences 0.3 s, promotion 0.6 s, notification of the daemons 0.4 s), and the primary serves
+ * requests up to the rate meanwhile.
  */
 inline constexpr common::Duration PROMOTION_TIME{1'500'000};
 
-/** What a deployment tolerates beyond the rate, in any second. */
+/** Requests in any second that a deployment tolerates beyond the rate. */
 struct tolerance {
-  double overage = 1;  // times the rate
-  double slack = 0;    // requests besides
+  double overage = 1;  // factor of the rate
+  double slack = 0;    // requests in addition
 };
 
 /**
- * @return how many requests one daemon may send in a second: no more than half of what is
- * tolerated, since two send while the role passes on, and no more than the rate
+ * @return the number of requests that one daemon may send in a second: at most half of what is
+ *     tolerated, because two daemons may send during a handover of the role, and at most the rate
  */
 std::size_t sending_limit(const model::WarmUp& warm_up, const tolerance& allowed);
 
 class warm_up_rule : public access::rule, public warm_up_observer {
  public:
-  warm_up_rule(std::string self, tolerance allowed, bool limited = true);
+  warm_up_rule(std::string self, tolerance allowed, bool enforces_limit = true);
 
   access::answer judge(const model::InstanceEntry& instance, const access::work& asked,
                        common::Instant now) const override;
@@ -68,24 +69,24 @@
   void on_restart_ruled_out(const model::InstanceEntry& instance) override;
   void on_first_contact(const model::InstanceEntry& instance, common::Instant now) override;
 
-  /** Drops what is over. To be called now and then. */
+  /** Removes expired state. To be called periodically. */
   void advance(common::Instant now);
 
-  /** The evacuation of a zone has ended: its instances may have started meanwhile. */
+  /** The evacuation of a zone has ended: its instances may have restarted during it. */
   void on_evacuation_ended(const std::string& zone, common::Instant now);
 
-  /** @return true if some service has a warm-up; else the rule lets everything through. */
+  /** @return true if some service has a warm-up; otherwise the rule allows all requests. */
   bool enabled() const { return this->cold.enabled(); }
 
   cold_instances& instances() { return this->cold; }
   const cold_instances& instances() const { return this->cold; }
   sender_role& role() { return this->sender; }
-  /** @return how many requests went to cold instances. */
+  /** @return the number of requests that this daemon sent to cold instances. */
   std::uint64_t cold_requests() const { return this->cold_request_count; }
 
  private:
   tolerance allowed;
-  bool enforces_limit;  // off only in tests of the simulator's checker
+  bool enforces_limit;  // false only in tests of the simulator's checker
   cold_instances cold;
   sender_role sender;
   std::map<std::string, send_window> windows;  // by instance
