--- a/tests/evacuation/evacuation_rule_test.cc
+++ b/tests/evacuation/evacuation_rule_test.cc
@@ -1,4 +1,4 @@
-// What an evacuation means for an instance of the zone, and until when.
+// Tests of the effect of an evacuation on an instance of the zone over time.
 
 #include "evacuation/evacuation_rule.h"
 
@@ -14,7 +14,7 @@
 constexpr common::Duration LIMIT = std::chrono::seconds(5);
 constexpr common::Duration UNTIL_CLOSED = LIMIT - LIMIT / MARGIN_DIVISOR;
 
-/** A daemon that knew all zones to be in use at START, and hears of an evacuation then. */
+/** A daemon with a view of START that shows all zones in use, and later one of an evacuation. */
 struct rule_fixture {
   rule_fixture() { this->entry.zone = "north"; }
 
@@ -43,27 +43,28 @@
   CHECK(fixture.judge(START + UNTIL_CLOSED) == verdict::closed);
 }
 
-TEST_CASE("A transaction goes on in an evacuated zone until the bound", "[evacuation]") {
+TEST_CASE("A transaction continues in an evacuated zone until the zone is closed", "[evacuation]") {
   rule_fixture fixture;
   fixture.evacuate();
   CHECK(fixture.judge(START + UNTIL_CLOSED - milliseconds(1), true) == verdict::open);
   CHECK(fixture.judge(START + UNTIL_CLOSED, true) == verdict::closed);
 }
 
-TEST_CASE("Later news of an evacuation doesn't move its bound", "[evacuation]") {
+TEST_CASE("A later view of an evacuation does not delay the closing", "[evacuation]") {
   rule_fixture fixture;
   fixture.evacuate();
   fixture.tracker.apply({12, {"north"}, START + std::chrono::seconds(4)});
   CHECK(fixture.judge(START + UNTIL_CLOSED) == verdict::closed);
 }
 
-TEST_CASE("Without a view from before an evacuated zone is closed at once", "[evacuation]") {
+TEST_CASE("Without an earlier view an evacuated zone is closed at once", "[evacuation]") {
   rule_fixture fixture;
   fixture.tracker.apply({9, {"north"}, START});
   CHECK(fixture.judge(START) == verdict::closed);
 }
 
-TEST_CASE("Other zones are open, and an evacuated one is again when it is over", "[evacuation]") {
+TEST_CASE("Other zones stay open, and an evacuated zone is open again after its end",
+          "[evacuation]") {
   rule_fixture fixture;
   fixture.evacuate();
   model::InstanceEntry other;
@@ -73,7 +74,7 @@
   CHECK(fixture.judge(START + LIMIT) == verdict::open);
 }
 
-TEST_CASE("A stale view closes nothing that it doesn't name", "[evacuation]") {
+TEST_CASE("A stale view closes no zone that it does not name", "[evacuation]") {
   rule_fixture fixture;
   fixture.tracker.apply({5, {}, START});
   CHECK(fixture.judge(START + 10 * LIMIT) == verdict::open);
@@ -86,7 +87,8 @@
   CHECK(fixture.rule.judge_leader(fixture.entry, START).fitness == model::LeaderFitness::kUnfit);
 }
 
-TEST_CASE("Before the first view work waits for a moment", "[evacuation]") {
+TEST_CASE("Before the first view work is rejected with a retry-after until the timeout",
+          "[evacuation]") {
   rule_fixture fixture;
   fixture.tracker.on_work(START);
   CHECK(fixture.judge(START) == verdict::later);
--- a/tests/evacuation/read_schedule_test.cc
+++ b/tests/evacuation/read_schedule_test.cc
@@ -1,4 +1,4 @@
-// Who asks the store for evacuated zones, and when.
+// Tests of which daemons read the evacuated zones from the store, and when.
 
 #include "evacuation/read_schedule.h"
 
@@ -15,24 +15,25 @@
 
 const read_conditions READER{true, true, true, true};
 const read_conditions OWNER{false, true, false, true};
-const read_conditions RELAY{false, false, false, true};
+const read_conditions RELAYING{false, false, false, true};
 
 /**
- * Runs a schedule for ten seconds, each read answered at once.
+ * Runs a schedule for ten seconds. Each read ends at once.
  *
- * @param heard  whether another daemon's view of this instant is heard again and again
+ * @param receives_views  whether another daemon's current view arrives at each step
  * @return number of reads
  */
-int reads_in_ten_seconds(const read_conditions& duty, bool heard, bool answered = true) {
+int reads_in_ten_seconds(const read_conditions& conditions, bool receives_views,
+                         bool answered = true) {
   read_schedule schedule(LIMIT);
   view_tracker tracker;
   tracker.apply({1, {}, START});
   int reads = 0;
   for (common::Instant now = START; now < START + std::chrono::seconds(10); now += STEP) {
-    if (heard) {
+    if (receives_views) {
       tracker.apply({1, {}, now});
     }
-    if (!schedule.start(duty, tracker, now)) {
+    if (!schedule.start(conditions, tracker, now)) {
       continue;
     }
     ++reads;
@@ -45,35 +46,36 @@
 
 }  // namespace
 
-TEST_CASE("The reader asks once a second, and nobody else at rest", "[evacuation]") {
+TEST_CASE("The reader reads once a second, and no other daemon reads while it receives views",
+          "[evacuation]") {
   CHECK(reads_in_ten_seconds(READER, true) == 10);
   CHECK(reads_in_ten_seconds(OWNER, true) == 0);
-  CHECK(reads_in_ten_seconds(RELAY, true) == 0);
+  CHECK(reads_in_ten_seconds(RELAYING, true) == 0);
 }
 
-TEST_CASE("Who sends work and hears nothing asks by itself", "[evacuation]") {
+TEST_CASE("A daemon that sends work and receives no views reads by itself", "[evacuation]") {
   CHECK(reads_in_ten_seconds(OWNER, false) == 4);
-  CHECK(reads_in_ten_seconds(RELAY, false) == 0);
-  // From two seconds on, each 0.8 s, although nothing is learned.
+  CHECK(reads_in_ten_seconds(RELAYING, false) == 0);
+  // From 2 s on a read every 0.8 s, each of which fails.
   CHECK(reads_in_ten_seconds(OWNER, false, false) == 10);
 }
 
-TEST_CASE("Who never had a view asks before it sends work", "[evacuation]") {
+TEST_CASE("A daemon without a view reads before it sends work", "[evacuation]") {
   read_schedule schedule(LIMIT);
   const view_tracker tracker;
-  CHECK_FALSE(schedule.start(RELAY, tracker, START));
+  CHECK_FALSE(schedule.start(RELAYING, tracker, START));
   CHECK(schedule.start(OWNER, tracker, START));
   CHECK_FALSE(schedule.start(OWNER, tracker, START + milliseconds(500)));
 }
 
-TEST_CASE("An answer holds from the instant at which the question was sent", "[evacuation]") {
+TEST_CASE("An answer is valid as of the time at which the read was sent", "[evacuation]") {
   read_schedule schedule(LIMIT);
   const view_tracker tracker;
   REQUIRE(schedule.start(READER, tracker, START));
   CHECK(schedule.finish(7) == START);
 }
 
-TEST_CASE("An answer older than what was known proves nothing", "[evacuation]") {
+TEST_CASE("An answer of a lower revision than the known one is discarded", "[evacuation]") {
   read_schedule schedule(LIMIT);
   view_tracker tracker;
   tracker.apply({9, {}, START});
@@ -83,7 +85,7 @@
   CHECK(schedule.finish(9) == START + std::chrono::seconds(1));
 }
 
-TEST_CASE("A question that stays unanswered proves nothing", "[evacuation]") {
+TEST_CASE("A failed read gives no time", "[evacuation]") {
   read_schedule schedule(LIMIT);
   const view_tracker tracker;
   REQUIRE(schedule.start(READER, tracker, START));
--- a/tests/evacuation/view_tracker_test.cc
+++ b/tests/evacuation/view_tracker_test.cc
@@ -1,4 +1,5 @@
-// Views of evacuated zones in any order, and when each zone was last known to be in use.
+// Tests of views of evacuated zones that arrive in any order, and of the times at which each zone
+// was last known to be in use.
 
 #include "evacuation/view_tracker.h"
 
@@ -23,14 +24,14 @@
   CHECK(tracker.in_use_at("north") == START + milliseconds(400));
 }
 
-TEST_CASE("Of a zone that the first view names nothing is known from before", "[evacuation]") {
+TEST_CASE("A zone that the first view names has no time at which it was in use", "[evacuation]") {
   view_tracker tracker;
   tracker.apply({9, {"north"}, START});
   CHECK(tracker.is_evacuated("north"));
   CHECK_FALSE(tracker.in_use_at("north"));
 }
 
-TEST_CASE("A lower revision never brings an evacuation back, or ends one", "[evacuation]") {
+TEST_CASE("A lower revision neither begins nor ends an evacuation", "[evacuation]") {
   view_tracker tracker;
   tracker.apply({9, {"north"}, START});
   CHECK(tracker.apply({8, {"south"}, START + milliseconds(100)}).empty());
@@ -56,7 +57,7 @@
   CHECK(tracker.age(START + milliseconds(50)) == milliseconds(30));
 }
 
-TEST_CASE("A view that ends an evacuation says so once", "[evacuation]") {
+TEST_CASE("The end of an evacuation is reported once", "[evacuation]") {
   view_tracker tracker;
   tracker.apply({5, {"north", "south"}, START});
   CHECK(tracker.apply({6, {"south"}, START}).ended == std::vector<std::string>{"north"});
@@ -65,7 +66,7 @@
   CHECK(tracker.is_evacuated("south"));
 }
 
-TEST_CASE("Evacuated anew, a zone counts from the view in between", "[evacuation]") {
+TEST_CASE("A zone evacuated again was in use at the view in between", "[evacuation]") {
   view_tracker tracker;
   tracker.apply({5, {"north"}, START});
   tracker.apply({6, {}, START + milliseconds(100)});
@@ -73,7 +74,8 @@
   CHECK(tracker.in_use_at("north") == START + milliseconds(100));
 }
 
-TEST_CASE("Only the first work of a life waits for a view, and not for long", "[evacuation]") {
+TEST_CASE("Only the first work of an incarnation waits for a view, until the timeout",
+          "[evacuation]") {
   view_tracker tracker;
   CHECK(tracker.awaits_first_view(START));
   tracker.on_work(START);
--- a/tests/warm_up/cold_instances_test.cc
+++ b/tests/warm_up/cold_instances_test.cc
@@ -1,4 +1,4 @@
-// Until when an instance counts as cold.
+// Tests of how long an instance counts as cold.
 
 #include "warm_up/cold_instances.h"
 
@@ -21,12 +21,12 @@
 }
 
 std::map<std::string, model::Service> services() {
-  model::Service spared;
-  spared.name = "ledger";
-  spared.warm_up = {WARM_UP_TIME, 8};
+  model::Service warming_up;
+  warming_up.name = "ledger";
+  warming_up.warm_up = {WARM_UP_TIME, 8};
   model::Service other;
   other.name = "archive";
-  return {{"ledger", spared}, {"archive", other}};
+  return {{"ledger", warming_up}, {"archive", other}};
 }
 
 struct cold_fixture {
@@ -38,30 +38,31 @@
 
 }  // namespace
 
-TEST_CASE("An entry's time counts from its arrival", "[warm_up]") {
+TEST_CASE("The remaining warm-up time of an entry counts from its arrival", "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.apply_entry(entry_of("a", 2 * SECOND), START);
   CHECK(fixture.cold.find(fixture.entry, START + 2 * SECOND - common::Duration(1)));
   CHECK_FALSE(fixture.cold.find(fixture.entry, START + 2 * SECOND));
 }
 
-TEST_CASE("An entry that says warm ends what an earlier one said", "[warm_up]") {
+TEST_CASE("An entry of a warm instance replaces an earlier entry of a cold one", "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.apply_entry(entry_of("a", 2 * SECOND), START);
   fixture.cold.apply_entry(entry_of("a", common::Duration(0)), START + SECOND);
   CHECK_FALSE(fixture.cold.find(fixture.entry, START + SECOND));
 }
 
-TEST_CASE("An instance that starts again while it is cold is cold anew", "[warm_up]") {
-  // Found by the simulator (large days 13 and 14): the second entry tells the same time left.
+TEST_CASE("An instance that restarts while it is cold is cold for the whole time again",
+          "[warm_up]") {
+  // Guards against ignoring the second entry because it has the same remaining time as the first.
   cold_fixture fixture;
   fixture.cold.apply_entry(entry_of("a", WARM_UP_TIME), START);
   fixture.cold.apply_entry(entry_of("a", WARM_UP_TIME), START + 4 * SECOND);
   CHECK(fixture.cold.find(fixture.entry, START + 9 * SECOND));
 }
 
-TEST_CASE("An entry that says warm does not end a presumption", "[warm_up]") {
-  // It may have been written before the instance started again.
+TEST_CASE("An entry of a warm instance does not rule out a possible restart", "[warm_up]") {
+  // The entry may have been written before the instance restarted.
   cold_fixture fixture;
   fixture.cold.on_possible_restart("a", START);
   fixture.cold.apply_entry(fixture.entry, START + SECOND);
@@ -71,21 +72,22 @@
   CHECK(found->source == cold_source::possible_restart);
 }
 
-TEST_CASE("An instance that lives on is not cold", "[warm_up]") {
+TEST_CASE("An instance whose restart is ruled out is not cold", "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.on_possible_restart("a", START);
   fixture.cold.on_restart_ruled_out("a");
   CHECK_FALSE(fixture.cold.find(fixture.entry, START));
 }
 
-TEST_CASE("An instance that flaps is cold after each return", "[warm_up]") {
+TEST_CASE("An instance that flaps is cold after each possible restart", "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.on_possible_restart("a", START);
   fixture.cold.on_possible_restart("a", START + 5 * SECOND);
   CHECK(fixture.cold.find(fixture.entry, START + 10 * SECOND));
 }
 
-TEST_CASE("Instances of a zone are cold after its evacuation, others are not", "[warm_up]") {
+TEST_CASE("Instances of a zone are cold after its evacuation, those of other zones are not",
+          "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.on_evacuation_ended("near", START);
   CHECK(fixture.cold.find(fixture.entry, START + WARM_UP_TIME - common::Duration(1)));
@@ -95,7 +97,7 @@
   CHECK_FALSE(fixture.cold.find(elsewhere, START));
 }
 
-TEST_CASE("An instance that was not watched is cold until entries are known to be fresh",
+TEST_CASE("An instance without an earlier connection is cold until the entries are refreshed",
           "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.on_first_contact("a", START);
@@ -107,13 +109,14 @@
   CHECK_FALSE(fixture.cold.needs_refresh());
 }
 
-TEST_CASE("Without an answer of the store entries count after a while", "[warm_up]") {
+TEST_CASE("Without an answer of the store entries count as fresh after their maximum delay",
+          "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.on_first_contact("a", START);
   CHECK_FALSE(fixture.cold.find(fixture.entry, START + MAX_ENTRY_DELAY));
 }
 
-TEST_CASE("Entries that were fresh a moment ago are not asked for again", "[warm_up]") {
+TEST_CASE("Entries that were refreshed recently are not refreshed again", "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.on_entries_refreshed(START);
   fixture.cold.on_first_contact("a", START + MAX_FRESH_AGE - common::Duration(1));
@@ -130,7 +133,7 @@
   CHECK_FALSE(fixture.cold.find(other, START));
 }
 
-TEST_CASE("What is over is forgotten", "[warm_up]") {
+TEST_CASE("Expired state is removed", "[warm_up]") {
   cold_fixture fixture;
   fixture.cold.on_first_contact("a", START);
   fixture.cold.remove_expired(START + MAX_ENTRY_DELAY);
--- a/tests/warm_up/send_window_test.cc
+++ b/tests/warm_up/send_window_test.cc
@@ -1,4 +1,4 @@
-// What was sent to an instance in the last second.
+// Tests of the sliding window of requests sent to an instance.
 
 #include "warm_up/send_window.h"
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("A window slides", "[warm_up]") {
+TEST_CASE("Requests leave the window after its length", "[warm_up]") {
   send_window window;
   window.add(3, START);
   window.add(2, START + 500 * MILLISECOND);
@@ -21,7 +21,7 @@
   CHECK(window.count(START + 500 * MILLISECOND + SEND_WINDOW) == 0);
 }
 
-TEST_CASE("A window without room tells when there is some", "[warm_up]") {
+TEST_CASE("A full window returns the time at which it has capacity", "[warm_up]") {
   send_window window;
   window.add(2, START);
   window.add(6, START + 100 * MILLISECOND);
@@ -31,7 +31,7 @@
   CHECK(window.earliest_send_time(9, 1, now) == now);
 }
 
-TEST_CASE("An empty window has room for more than its limit", "[warm_up]") {
+TEST_CASE("An empty window has capacity for more than its limit", "[warm_up]") {
   send_window window;
   CHECK(window.earliest_send_time(1, 2, START) == START);
   window.add(2, START);
--- a/tests/warm_up/sender_role_test.cc
+++ b/tests/warm_up/sender_role_test.cc
@@ -1,4 +1,4 @@
-// Which daemon may use a cold instance.
+// Tests of which daemon may send requests to a cold instance.
 
 #include "warm_up/sender_role.h"
 
@@ -10,31 +10,31 @@
 
 constexpr common::Instant START{100'000'000};
 constexpr common::Duration STEP{100'000};
-constexpr reachability ALL_HEARD{3, 3, 2, 2};
+constexpr reachability ALL_REACHABLE{3, 3, 2, 2};
 const std::vector<std::string> OWNERS = {"d1", "d2", "d3"};
 const std::string INSTANCE = "a";
 
-/** @return the owners without one. */
+/** @return the owners except one. */
 std::vector<std::string> without(const std::string& lost) {
   std::vector<std::string> left = OWNERS;
   std::erase(left, lost);
   return left;
 }
 
-/** A daemon's role from START on, with what it sees at each step. */
+/** A daemon's role from START on, updated at each step. */
 struct role_fixture {
   explicit role_fixture(const std::string& self) : role(self) {}
 
-  /** Sees the same for a while. */
-  void see(const std::vector<std::string>& owners, common::Duration time,
-           const reachability& heard = ALL_HEARD) {
+  /** Updates the role with the same membership for some time. */
+  void update(const std::vector<std::string>& owners, common::Duration time,
+              const reachability& daemons = ALL_REACHABLE) {
     for (const common::Instant end = this->now + time; this->now < end; this->now += STEP) {
-      this->role.update({{"ledger", owners}}, heard, this->now);
+      this->role.update({{"ledger", owners}}, daemons, this->now);
     }
-    this->role.update({{"ledger", owners}}, heard, this->now);
+    this->role.update({{"ledger", owners}}, daemons, this->now);
   }
 
-  bool holds() const { return this->role.is_sender("ledger", INSTANCE, this->now); }
+  bool is_sender() const { return this->role.is_sender("ledger", INSTANCE, this->now); }
 
   sender_role role;
   common::Instant now = START;
@@ -42,17 +42,17 @@
 
 }  // namespace
 
-TEST_CASE("Exactly one daemon may use an instance", "[warm_up]") {
-  int holders = 0;
+TEST_CASE("Exactly one daemon may use a cold instance", "[warm_up]") {
+  int senders = 0;
   for (const std::string& name : OWNERS) {
     role_fixture fixture(name);
-    fixture.see(OWNERS, HANDOVER_TIME);
-    holders += fixture.holds() ? 1 : 0;
+    fixture.update(OWNERS, HANDOVER_TIME);
+    senders += fixture.is_sender() ? 1 : 0;
   }
-  CHECK(holders == 1);
+  CHECK(senders == 1);
 }
 
-TEST_CASE("Instances are spread over the daemons", "[warm_up]") {
+TEST_CASE("Cold instances are spread over the daemons", "[warm_up]") {
   std::map<std::string, int> firsts;
   for (int number = 0; number < 60; ++number) {
     ++firsts[*first_sender(OWNERS, "instance-" + std::to_string(number))];
@@ -62,82 +62,83 @@
 
 TEST_CASE("A daemon that starts waits before it uses a cold instance", "[warm_up]") {
   role_fixture fixture(*first_sender(OWNERS, INSTANCE));
-  fixture.see(OWNERS, HANDOVER_TIME - STEP);
-  CHECK_FALSE(fixture.holds());
-  fixture.see(OWNERS, STEP);
-  CHECK(fixture.holds());
+  fixture.update(OWNERS, HANDOVER_TIME - STEP);
+  CHECK_FALSE(fixture.is_sender());
+  fixture.update(OWNERS, STEP);
+  CHECK(fixture.is_sender());
 }
 
-TEST_CASE("The next daemon waits when the first is lost", "[warm_up]") {
+TEST_CASE("The next daemon waits after the first one fails", "[warm_up]") {
   const std::string first = *first_sender(OWNERS, INSTANCE);
   const std::vector<std::string> left = without(first);
   role_fixture fixture(*first_sender(left, INSTANCE));
-  fixture.see(OWNERS, HANDOVER_TIME);
-  CHECK_FALSE(fixture.holds());
-  fixture.see(left, HANDOVER_TIME - STEP);
-  CHECK_FALSE(fixture.holds());
-  fixture.see(left, STEP);
-  CHECK(fixture.holds());
+  fixture.update(OWNERS, HANDOVER_TIME);
+  CHECK_FALSE(fixture.is_sender());
+  fixture.update(left, HANDOVER_TIME - STEP);
+  CHECK_FALSE(fixture.is_sender());
+  fixture.update(left, STEP);
+  CHECK(fixture.is_sender());
 }
 
-TEST_CASE("A daemon keeps an instance while others come and go behind it", "[warm_up]") {
+TEST_CASE("A daemon keeps an instance while daemons of lower rank join and leave", "[warm_up]") {
   const std::string first = *first_sender(OWNERS, INSTANCE);
   const std::string second = *first_sender(without(first), INSTANCE);
   role_fixture fixture(first);
-  fixture.see(OWNERS, HANDOVER_TIME);
-  fixture.see(without(second), STEP);
-  CHECK(fixture.holds());
-  fixture.see(OWNERS, STEP);
-  CHECK(fixture.holds());
+  fixture.update(OWNERS, HANDOVER_TIME);
+  fixture.update(without(second), STEP);
+  CHECK(fixture.is_sender());
+  fixture.update(OWNERS, STEP);
+  CHECK(fixture.is_sender());
 }
 
-TEST_CASE("A daemon that a better one has joined stops at once", "[warm_up]") {
+TEST_CASE("A daemon stops at once when one of higher rank joins", "[warm_up]") {
   const std::string first = *first_sender(OWNERS, INSTANCE);
   const std::vector<std::string> before = without(first);
   role_fixture fixture(*first_sender(before, INSTANCE));
-  fixture.see(before, HANDOVER_TIME);
-  CHECK(fixture.holds());
-  fixture.see(OWNERS, common::Duration(0));
-  CHECK_FALSE(fixture.holds());
+  fixture.update(before, HANDOVER_TIME);
+  CHECK(fixture.is_sender());
+  fixture.update(OWNERS, common::Duration(0));
+  CHECK_FALSE(fixture.is_sender());
 }
 
-TEST_CASE("A daemon that hears too few others uses no cold instance", "[warm_up]") {
+TEST_CASE("A daemon that receives heartbeats from too few others uses no cold instance",
+          "[warm_up]") {
   role_fixture fixture(*first_sender(OWNERS, INSTANCE));
-  fixture.see(OWNERS, HANDOVER_TIME);
-  REQUIRE(fixture.holds());
-  fixture.see({*first_sender(OWNERS, INSTANCE)}, common::Duration(0), {1, 3, 0, 0});
-  CHECK_FALSE(fixture.holds());
-  fixture.see(OWNERS, HANDOVER_TIME - STEP);
-  CHECK_FALSE(fixture.holds());
+  fixture.update(OWNERS, HANDOVER_TIME);
+  REQUIRE(fixture.is_sender());
+  fixture.update({*first_sender(OWNERS, INSTANCE)}, common::Duration(0), {1, 3, 0, 0});
+  CHECK_FALSE(fixture.is_sender());
+  fixture.update(OWNERS, HANDOVER_TIME - STEP);
+  CHECK_FALSE(fixture.is_sender());
 }
 
-TEST_CASE("A daemon that others do not hear uses no cold instance", "[warm_up]") {
+TEST_CASE("A daemon whose heartbeats are not received uses no cold instance", "[warm_up]") {
   role_fixture fixture(*first_sender(OWNERS, INSTANCE));
-  fixture.see(OWNERS, HANDOVER_TIME);
-  fixture.see(OWNERS, common::Duration(0), {3, 3, 2, 0});
-  CHECK_FALSE(fixture.holds());
+  fixture.update(OWNERS, HANDOVER_TIME);
+  fixture.update(OWNERS, common::Duration(0), {3, 3, 2, 0});
+  CHECK_FALSE(fixture.is_sender());
 }
 
-TEST_CASE("A daemon that stood still has no role before its first tick, and waits after it",
+TEST_CASE("After a process pause a daemon has no role before its first tick, and waits after it",
           "[warm_up]") {
   role_fixture fixture(*first_sender(OWNERS, INSTANCE));
-  fixture.see(OWNERS, HANDOVER_TIME);
-  REQUIRE(fixture.holds());
+  fixture.update(OWNERS, HANDOVER_TIME);
+  REQUIRE(fixture.is_sender());
   fixture.now += MAX_UPDATE_INTERVAL;
-  CHECK_FALSE(fixture.holds());
-  fixture.see(OWNERS, common::Duration(0));
-  CHECK_FALSE(fixture.holds());
-  fixture.see(OWNERS, HANDOVER_TIME);
-  CHECK(fixture.holds());
+  CHECK_FALSE(fixture.is_sender());
+  fixture.update(OWNERS, common::Duration(0));
+  CHECK_FALSE(fixture.is_sender());
+  fixture.update(OWNERS, HANDOVER_TIME);
+  CHECK(fixture.is_sender());
 }
 
-TEST_CASE("A service of which nothing is known has no holder", "[warm_up]") {
+TEST_CASE("An unknown service has no sender", "[warm_up]") {
   role_fixture fixture("d1");
-  fixture.see(OWNERS, HANDOVER_TIME);
+  fixture.update(OWNERS, HANDOVER_TIME);
   CHECK_FALSE(fixture.role.is_sender("archive", INSTANCE, fixture.now));
 }
 
-TEST_CASE("A daemon that has been alone for long is no majority of those that the store names",
+TEST_CASE("A daemon that has been isolated for long is not in the majority of the listed daemons",
           "[warm_up]") {
   CHECK(is_in_majority({1, 1, 0, 0, 1}));
   CHECK_FALSE(is_in_majority({1, 1, 0, 0, 24}));
--- a/tests/warm_up/warm_up_rule_test.cc
+++ b/tests/warm_up/warm_up_rule_test.cc
@@ -1,4 +1,4 @@
-// How much a cold instance gets, and whether it should lead.
+// Tests of how many requests a cold instance gets, and whether it should lead.
 
 #include "warm_up/warm_up_rule.h"
 
@@ -30,7 +30,7 @@
   return {{"ledger", service}};
 }
 
-/** The rule of one daemon that is, or is not, the first of the owners for instance "a". */
+/** The rule of a daemon that either is or is not the first of the owners for instance "a". */
 struct rule_fixture {
   explicit rule_fixture(bool is_first = true)
       : rule(is_first == (*first_sender(OWNERS, "a") == "d1") ? "d1" : "d2", ALLOWED) {
@@ -44,7 +44,7 @@
     this->rule.role().update({{"ledger", OWNERS}}, {2, 2, 1, 1}, at);
   }
 
-  void tell_cold(const std::string& id, common::Duration left, common::Instant at = START) {
+  void report_cold(const std::string& id, common::Duration left, common::Instant at = START) {
     model::InstanceEntry entry = instance(id);
     entry.warm_up_left = left;
     this->rule.instances().apply_entry(entry, at);
@@ -55,7 +55,7 @@
     return this->rule.judge(instance(id), {route, "", continues}, at);
   }
 
-  /** Sends as much as the rule lets through, one statement at a time. */
+  /** Sends as many requests as the rule allows, one at a time. @return their number */
   std::size_t send_all(common::Instant at) {
     std::size_t sent = 0;
     while (sent < 2 * TOLERATED && this->judge("a", at).outcome == access::verdict::overflow) {
@@ -70,8 +70,7 @@
 
 }  // namespace
 
-TEST_CASE("Two daemons together send no more than is tolerated, one no more than the rate",
-          "[warm_up]") {
+TEST_CASE("Two daemons together stay within the tolerance, one within the rate", "[warm_up]") {
   CHECK(sending_limit({6 * SECOND, 8}, ALLOWED) == 8);
   CHECK(sending_limit({6 * SECOND, 8}, {1, 0}) == 4);
   CHECK(sending_limit({6 * SECOND, 0.5}, {1, 0}) == 0);
@@ -82,9 +81,9 @@
   CHECK(fixture.judge("a").outcome == access::verdict::open);
 }
 
-TEST_CASE("A cold instance gets what others have no room for, up to the rate", "[warm_up]") {
+TEST_CASE("A cold instance gets overflow requests up to the rate", "[warm_up]") {
   rule_fixture fixture;
-  fixture.tell_cold("a", 6 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
   const std::size_t sent = fixture.send_all(START);
   CHECK(sent > 0);
   CHECK(sent <= sending_limit({6 * SECOND, RATE}, ALLOWED));
@@ -95,10 +94,9 @@
   CHECK(fixture.send_all(START + 300 * MILLISECOND) == 0);
 }
 
-TEST_CASE("Whichever second is looked at, a cold instance gets no more than the limit",
-          "[warm_up]") {
+TEST_CASE("A cold instance gets no more requests than the limit in any second", "[warm_up]") {
   rule_fixture fixture;
-  fixture.tell_cold("a", 6 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
   std::vector<common::Instant> sent;
   for (common::Instant at = START; at < START + 5 * SECOND; at += 10 * MILLISECOND) {
     fixture.update(at);
@@ -113,9 +111,9 @@
   }
 }
 
-TEST_CASE("A statement of an open transaction counts, and needs less room", "[warm_up]") {
+TEST_CASE("A statement of an open transaction counts and needs less capacity", "[warm_up]") {
   rule_fixture fixture;
-  fixture.tell_cold("a", 6 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
   fixture.rule.note_sent(instance("a"), 7, START);
   CHECK(fixture.judge("a", START).outcome == access::verdict::later);
   CHECK(fixture.judge("a", START, true).outcome == access::verdict::overflow);
@@ -123,28 +121,28 @@
   CHECK(fixture.judge("a", START, true).outcome == access::verdict::later);
 }
 
-TEST_CASE("What was sent before the instance was known to be cold counts", "[warm_up]") {
+TEST_CASE("Requests sent before the instance was known to be cold count", "[warm_up]") {
   rule_fixture fixture;
   fixture.rule.note_sent(instance("a"), TOLERATED, START);
-  fixture.tell_cold("a", 6 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
   CHECK(fixture.judge("a").outcome == access::verdict::later);
 }
 
 TEST_CASE("A daemon that is not the first sends nothing to a cold instance", "[warm_up]") {
   rule_fixture fixture(false);
-  fixture.tell_cold("a", 6 * SECOND);
-  const access::answer held = fixture.judge("a");
-  CHECK(held.outcome == access::verdict::later);
-  CHECK(held.come_back == COLD_RETRY_AFTER);
+  fixture.report_cold("a", 6 * SECOND);
+  const access::answer rejected = fixture.judge("a");
+  CHECK(rejected.outcome == access::verdict::later);
+  CHECK(rejected.come_back == COLD_RETRY_AFTER);
   CHECK(fixture.judge("a", START + 6 * SECOND - 10 * MILLISECOND).come_back == 10 * MILLISECOND);
 }
 
-TEST_CASE("Two daemons with different views stay within what is tolerated", "[warm_up]") {
+TEST_CASE("Two daemons with different views stay within the tolerance", "[warm_up]") {
   rule_fixture first;
   rule_fixture second(false);
-  first.tell_cold("a", 6 * SECOND);
-  second.tell_cold("a", 6 * SECOND);
-  // The second takes the first for lost, which lives on and hears all.
+  first.report_cold("a", 6 * SECOND);
+  second.report_cold("a", 6 * SECOND);
+  // The second daemon considers the first one failed. The first runs and receives all heartbeats.
   const std::string self = *first_sender(OWNERS, "a") == "d1" ? "d2" : "d1";
   common::Instant at = START;
   for (; at <= START + HANDOVER_TIME; at += 100 * MILLISECOND) {
@@ -158,48 +156,48 @@
   CHECK(both <= TOLERATED);
 }
 
-TEST_CASE("A daemon that stood still sends nothing to a cold instance before its first tick",
+TEST_CASE("After a process pause a daemon sends nothing to a cold instance before its first tick",
           "[warm_up]") {
   rule_fixture fixture;
-  fixture.tell_cold("a", 6 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
   REQUIRE(fixture.judge("a", START).outcome == access::verdict::overflow);
   CHECK(fixture.judge("a", START + 3 * SECOND).outcome == access::verdict::later);
 }
 
-TEST_CASE("While fresh entries are on their way, work waits a moment", "[warm_up]") {
+TEST_CASE("During a refresh of the entries the retry-after is short", "[warm_up]") {
   rule_fixture fixture(false);
   fixture.rule.on_first_contact(instance("a"), START);
   CHECK(fixture.judge("a").come_back == REFRESH_RETRY_AFTER);
   CHECK(fixture.judge("a", START + REFRESH_TIMEOUT).come_back == COLD_RETRY_AFTER);
 }
 
-TEST_CASE("A cold primary leads badly by its own word alone", "[warm_up]") {
+TEST_CASE("Only its entry makes a cold primary a poor leader", "[warm_up]") {
   rule_fixture fixture;
   CHECK(fixture.rule.judge_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
   fixture.rule.on_possible_restart(instance("a"), START);
   CHECK(fixture.rule.judge_leader(instance("a"), START).fitness == model::LeaderFitness::kFit);
-  fixture.tell_cold("a", 6 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
   const access::leader_answer answer = fixture.rule.judge_leader(instance("a"), START);
   CHECK(answer.fitness == model::LeaderFitness::kPoor);
   CHECK(std::string(answer.reason) == COLD_REASON);
 }
 
-TEST_CASE("A primary that is warm before it could be replaced stays", "[warm_up]") {
+TEST_CASE("A primary that is warm before it could be replaced is not a poor leader", "[warm_up]") {
   rule_fixture fixture;
-  fixture.tell_cold("a", 6 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
   const common::Instant late = START + 6 * SECOND - PROMOTION_TIME;
   CHECK(fixture.rule.judge_leader(instance("a"), late).fitness == model::LeaderFitness::kFit);
 }
 
-TEST_CASE("Two cold instances lead equally badly: neither replaces the other", "[warm_up]") {
+TEST_CASE("Two cold instances are equally poor leaders: neither replaces the other", "[warm_up]") {
   rule_fixture fixture;
-  fixture.tell_cold("a", 6 * SECOND);
-  fixture.tell_cold("b", 3 * SECOND);
+  fixture.report_cold("a", 6 * SECOND);
+  fixture.report_cold("b", 3 * SECOND);
   CHECK(fixture.rule.judge_leader(instance("a"), START).fitness ==
         fixture.rule.judge_leader(instance("b"), START).fitness);
 }
 
-TEST_CASE("Without a warm-up nothing is kept or judged", "[warm_up]") {
+TEST_CASE("Without a warm-up nothing is recorded and all instances are open", "[warm_up]") {
   warm_up_rule rule("d1", ALLOWED);
   rule.instances().set_services(services(common::Duration(0)));
   CHECK_FALSE(rule.enabled());
@@ -210,7 +208,7 @@
   CHECK_FALSE(rule.instances().needs_refresh());
   const model::Route route;
   CHECK(rule.judge(instance("a"), {route, "", false}, START).outcome == access::verdict::open);
-  // It is switched on later: nothing of before counts.
+  // Events from before the warm-up is enabled do not count.
   rule.instances().set_services(services());
   CHECK(rule.judge(instance("a"), {route, "", false}, START).outcome == access::verdict::open);
 }
