--- a/src/evacuation/evacuation_rule.h
+++ b/src/evacuation/evacuation_rule.h
@@ -24,6 +24,7 @@
 inline constexpr const char* EVACUATED = "evacuated";
 inline constexpr const char* VIEW_UNKNOWN = "evacuations unknown";
 
+/** How evacuations are enforced. */
 struct evacuation_policy {
   /** Time after an evacuation's acknowledgement at which no work may reach the zone; not 0. */
   common::Duration limit{0};
@@ -31,6 +32,7 @@
       true;  // false: instances are avoided, not closed; for tests of a violated limit
 };
 
+/** The access rule for instances of evacuated zones. */
 class evacuation_rule : public access::rule {
  public:
   /** @param tracker  outlives the rule */
--- a/src/evacuation/read_schedule.h
+++ b/src/evacuation/read_schedule.h
@@ -30,6 +30,7 @@
   bool store_connected = false;  // the store answered recently
 };
 
+/** Decides when to read, and from when an answer is valid. */
 class read_schedule {
  public:
   /** @param limit  the limit of evacuation_policy */
--- a/src/evacuation/view_tracker.h
+++ b/src/evacuation/view_tracker.h
@@ -27,6 +27,7 @@
  */
 inline constexpr common::Duration FIRST_VIEW_TIMEOUT{1'000'000};
 
+/** The newest view, and when the zones that it names were last known to be in use. */
 class view_tracker {
  public:
   /** Applies a view. @return the evacuations that it begins and ends. */
--- a/src/warm_up/cold_instances.h
+++ b/src/warm_up/cold_instances.h
@@ -62,6 +62,7 @@
 /** @return true if the instance counts as cold only until a refresh in progress completes. */
 bool awaits_refresh(const cold_state& state, common::Instant now);
 
+/** The cold instances of all services that have a warm-up. */
 class cold_instances {
  public:
   /** Sets the warm-ups from the services' configuration. */
--- a/src/warm_up/restart_detector.h
+++ b/src/warm_up/restart_detector.h
@@ -43,6 +43,7 @@
   virtual void on_first_contact(const model::InstanceEntry& instance, common::Instant now) = 0;
 };
 
+/** Detects possible restarts of one instance. */
 class restart_detector {
  public:
   /** A connection broke, or the instance is unreachable. */
--- a/src/warm_up/send_window.h
+++ b/src/warm_up/send_window.h
@@ -21,6 +21,7 @@
  */
 inline constexpr common::Duration SEND_WINDOW{1'200'000};
 
+/** The requests that were sent to one instance within SEND_WINDOW. */
 class send_window {
  public:
   /** Records requests that are sent now. */
--- a/src/warm_up/sender_role.h
+++ b/src/warm_up/sender_role.h
@@ -58,6 +58,7 @@
 const std::string* first_sender(const std::vector<std::string>& senders,
                                 const std::string& instance);
 
+/** Which cold instances this daemon may send requests to. */
 class sender_role {
  public:
   explicit sender_role(std::string self) : self(std::move(self)) {}
--- a/src/warm_up/warm_up_rule.h
+++ b/src/warm_up/warm_up_rule.h
@@ -54,6 +54,7 @@
  */
 std::size_t sending_limit(const model::WarmUp& warm_up, const tolerance& allowed);
 
+/** The access rule for instances that are warming up. */
 class warm_up_rule : public access::rule, public warm_up_observer {
  public:
   warm_up_rule(std::string self, tolerance allowed, bool enforces_limit = true);
