--- a/src/proxy/backend.h
+++ b/src/proxy/backend.h
@@ -18,7 +18,7 @@
 #include "model/reply.h"
 #include "model/request.h"
 #include "proxy/actions.h"
-#include "warm_up/instance_life.h"
+#include "warm_up/restart_detector.h"
 
 namespace valvekeel::proxy {
 
@@ -160,7 +160,7 @@
   std::optional<model::InstanceStatus> status;    // last received
   common::Instant status_received_at{0};          // time at which `status` was received
   bool address_taken = false;                     // another instance answers at its address
-  warm_up::instance_life restart_detection;
+  warm_up::restart_detector restart_detection;
 
  private:
   static bool IsFree(const Connection& connection);
--- a/src/warm_up/warm_up_rule.cc
+++ b/src/warm_up/warm_up_rule.cc
@@ -7,15 +7,15 @@
 namespace valvekeel::warm_up {
 namespace {
 
-/** Requests of a statement that begins a transaction: its begin goes first. */
-constexpr std::size_t FIRST_REQUESTS = 2;
-/** Requests of a statement within one. */
-constexpr std::size_t NEXT_REQUESTS = 1;
+/** Requests of a statement that begins a transaction: BEGIN is sent before it. */
+constexpr std::size_t FIRST_STATEMENT_REQUESTS = 2;
+/** Requests of a further statement of a transaction. */
+constexpr std::size_t NEXT_STATEMENT_REQUESTS = 1;
 
-/** @return after which a daemon that may not use the instance may try again. */
-common::Duration held_back_pause(const cold_state& state, common::Instant now) {
+/** @return the retry-after of requests that this daemon may not send to the instance. */
+common::Duration cold_retry_after(const cold_state& state, common::Instant now) {
   const common::Duration left = state.until - now;
-  return std::min(left, awaits_entries(state, now) ? REFRESH_PAUSE : HELD_BACK_PAUSE);
+  return std::min(left, awaits_refresh(state, now) ? REFRESH_RETRY_AFTER : COLD_RETRY_AFTER);
 }
 
 }  // namespace
@@ -26,12 +26,12 @@
   return static_cast<std::size_t>(std::max(0.0, std::floor(limit)));
 }
 
-warm_up_rule::warm_up_rule(std::string self, tolerance allowed, bool limited)
-    : allowed(allowed), limited(limited), sender(std::move(self)) {}
+warm_up_rule::warm_up_rule(std::string self, tolerance allowed, bool enforces_limit)
+    : allowed(allowed), enforces_limit(enforces_limit), sender(std::move(self)) {}
 
 access::decision warm_up_rule::evaluate(const model::InstanceEntry& instance,
                                         const access::work& asked, common::Instant now) const {
-  if (!this->enabled() || !this->limited) {
+  if (!this->enabled() || !this->enforces_limit) {
     return {};
   }
   const auto state = this->cold.find(instance, now);
@@ -39,19 +39,20 @@
     return {};
   }
   const common::Duration left = state->until - now;
-  if (!this->sender.is_holder(instance.service, instance.id, now)) {
-    return {access::access_level::deferred, COLD_REASON, held_back_pause(*state, now)};
+  if (!this->sender.is_sender(instance.service, instance.id, now)) {
+    return {access::access_level::deferred, COLD_REASON, cold_retry_after(*state, now)};
   }
-  const std::size_t most = sending_limit(*this->cold.warm_up_of(instance.service), this->allowed);
-  if (most == 0) {
+  const std::size_t limit = sending_limit(*this->cold.warm_up_of(instance.service), this->allowed);
+  if (limit == 0) {
     return {access::access_level::deferred, COLD_REASON, left};
   }
-  const std::size_t requests = asked.continues_transaction ? NEXT_REQUESTS : FIRST_REQUESTS;
+  const std::size_t requests =
+      asked.continues_transaction ? NEXT_STATEMENT_REQUESTS : FIRST_STATEMENT_REQUESTS;
   const auto window = this->windows.find(instance.id);
-  const common::Instant room =
-      window == this->windows.end() ? now : window->second.room_at(most, requests, now);
-  if (room > now) {
-    return {access::access_level::deferred, COLD_REASON, std::min(left, room - now)};
+  const common::Instant send_at =
+      window == this->windows.end() ? now : window->second.earliest_send_time(limit, requests, now);
+  if (send_at > now) {
+    return {access::access_level::deferred, COLD_REASON, std::min(left, send_at - now)};
   }
   return {access::access_level::overflow, COLD_REASON, {}};
 }
@@ -61,8 +62,8 @@
   if (!this->enabled()) {
     return {};
   }
-  // What this daemon alone presumes must not move a primary.
-  const auto until = this->cold.told_until(instance, now);
+  // A restart that only this daemon suspects must not cause a replacement of the primary.
+  const auto until = this->cold.reported_until(instance, now);
   if (!until || *until - now <= PROMOTION_TIME) {
     return {};
   }
@@ -76,34 +77,34 @@
   }
   this->windows[instance.id].add(requests, now);
   if (this->cold.find(instance, now)) {
-    this->total_sent_cold += requests;
+    this->cold_request_count += requests;
   }
 }
 
-void warm_up_rule::may_have_restarted(const model::InstanceEntry& instance, common::Instant now) {
+void warm_up_rule::on_possible_restart(const model::InstanceEntry& instance, common::Instant now) {
   if (this->cold.warm_up_of(instance.service) != nullptr) {
-    this->cold.note_restart(instance.id, now);
+    this->cold.on_possible_restart(instance.id, now);
   }
 }
 
-void warm_up_rule::same_life(const model::InstanceEntry& instance) {
-  this->cold.note_same_life(instance.id);
+void warm_up_rule::on_restart_ruled_out(const model::InstanceEntry& instance) {
+  this->cold.on_restart_ruled_out(instance.id);
 }
 
-void warm_up_rule::first_contact(const model::InstanceEntry& instance, common::Instant now) {
+void warm_up_rule::on_first_contact(const model::InstanceEntry& instance, common::Instant now) {
   if (this->cold.warm_up_of(instance.service) != nullptr) {
-    this->cold.note_first_contact(instance.id, now);
+    this->cold.on_first_contact(instance.id, now);
   }
 }
 
 void warm_up_rule::advance(common::Instant now) {
-  this->cold.forget_old(now);
+  this->cold.remove_expired(now);
   std::erase_if(this->windows, [&](const auto& each) { return each.second.count(now) == 0; });
 }
 
-void warm_up_rule::zone_returned(const std::string& zone, common::Instant now) {
+void warm_up_rule::on_evacuation_ended(const std::string& zone, common::Instant now) {
   if (this->enabled()) {
-    this->cold.note_zone_returned(zone, now);
+    this->cold.on_evacuation_ended(zone, now);
   }
 }
 
