--- a/src/runtime/announce.h
+++ b/src/runtime/announce.h
@@ -1,6 +1,6 @@
-// Announces the addresses that a process has bound.
+// Writes the addresses that a process has bound to a file.
 //
-// Owns: nothing. Invariant: the file appears whole or not at all. Thread: any.
+// Invariant: the file appears complete or not at all. Thread-safe for different paths.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/src/runtime/bounded_log.cc
+++ b/src/runtime/bounded_log.cc
@@ -12,8 +12,8 @@
 namespace valvekeel::runtime {
 namespace {
 
-/// A pipe that reports room takes this much without blocking (POSIX's PIPE_BUF on Linux).
-constexpr std::size_t kWriteBytes = 4096;
+/// A pipe that poll() reports as writable takes this much without blocking (PIPE_BUF on Linux).
+constexpr std::size_t kMaxWriteBytes = 4096;
 
 std::int64_t MillisecondsOfDay() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -22,8 +22,12 @@
 
 }  // namespace
 
-BoundedLog::BoundedLog(int descriptor, std::string process, std::uint64_t life, LogLimits limits)
-    : descriptor_(descriptor), process_(std::move(process)), life_(life), limits_(limits) {}
+BoundedLog::BoundedLog(int descriptor, std::string process, std::uint64_t incarnation,
+                       LogLimits limits)
+    : descriptor_(descriptor),
+      process_(std::move(process)),
+      incarnation_(incarnation),
+      limits_(limits) {}
 
 void BoundedLog::Write(std::string_view level, const char* event, const Fields& fields,
                        common::Instant now) {
@@ -44,7 +48,7 @@
   line["mono_ms"] = now.count() / 1000;
   line["level"] = level;
   line["process"] = process_;
-  line["life"] = life_;
+  line["life"] = incarnation_;
   line["event"] = event;
   for (const auto& [name, value] : fields) {
     line[name] = value;
@@ -68,7 +72,7 @@
       return false;
     }
     const ssize_t written =
-        ::write(descriptor_, buffer_.data(), std::min(buffer_.size(), kWriteBytes));
+        ::write(descriptor_, buffer_.data(), std::min(buffer_.size(), kMaxWriteBytes));
     if (written <= 0) {
       return false;
     }
--- a/src/runtime/bounded_log.h
+++ b/src/runtime/bounded_log.h
@@ -1,7 +1,7 @@
-// Log lines on a descriptor that are bounded in number and never block the writer.
+// Writes log lines to a file descriptor, limited in rate and without ever blocking.
 //
-// Owns: lines not yet written. Invariant: a line is written whole or counted as dropped; writing
-// never waits for the reader. Thread: the event loop's.
+// Owns: lines not yet written. Invariant: a line is written completely, or counted as dropped or
+// suppressed. Writing never waits for the reader. Not thread-safe: used on the event loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace valvekeel::runtime {
 
-/// Limits of a log.
+/// Limits on the rate and the buffered size of a log.
 struct LogLimits {
   std::uint32_t lines_per_event = 40;  // of one event in one period
   common::Duration period{1'000'000};
@@ -26,14 +26,15 @@
  public:
   using Fields = std::vector<std::pair<const char*, std::string>>;
 
-  /// @param descriptor to write to. @param process, life written into each line: the name and a
-  /// number that tells this life of the process from its others.
-  BoundedLog(int descriptor, std::string process, std::uint64_t life, LogLimits limits);
+  /// @param descriptor to write to. @param process, incarnation written into each line: the name of
+  /// the process and a number that differs between its incarnations.
+  BoundedLog(int descriptor, std::string process, std::uint64_t incarnation, LogLimits limits);
 
-  /// Adds a line: a JSON object with time, level, process, event and the fields.
+  /// Buffers a line: a JSON object with time, level, process, event and the fields. Suppresses it
+  /// if its event is over the rate limit and drops it if the buffer is full.
   void Write(std::string_view level, const char* event, const Fields& fields, common::Instant now);
 
-  /// Writes what the reader takes at once. @return true if nothing is left.
+  /// Writes as much as possible without blocking. @return true if the buffer is empty.
   bool Flush();
 
   std::uint64_t Dropped() const { return dropped_; }
@@ -43,12 +44,12 @@
   struct Rate {
     common::Instant period_start{0};
     std::uint32_t written = 0;
-    std::uint64_t suppressed = 0;  // since the last line of the event
+    std::uint64_t suppressed = 0;  // since the event's last written line
   };
 
   int descriptor_;
   std::string process_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   LogLimits limits_;
   std::map<std::string, Rate> rates_;  // by event
   std::string buffer_;
--- a/src/runtime/logging.cc
+++ b/src/runtime/logging.cc
@@ -13,7 +13,7 @@
 
 struct LoggerState {
   std::string process;
-  LogLevel lowest = LogLevel::kInfo;
+  LogLevel min_level = LogLevel::kInfo;
 };
 
 LoggerState& State() {
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-void StartLogging(std::string_view process, LogLevel lowest) {
-  State() = {std::string(process), lowest};
+void StartLogging(std::string_view process, LogLevel min_level) {
+  State() = {std::string(process), min_level};
   el::Configurations configuration;
   configuration.setToDefault();
   configuration.setGlobally(el::ConfigurationType::ToFile, "false");
@@ -52,7 +52,7 @@
 }
 
 void Log(LogLevel level, std::string_view event, const nlohmann::json& fields) {
-  if (level < State().lowest) {
+  if (level < State().min_level) {
     return;
   }
   nlohmann::ordered_json line;
--- a/src/settings/schema.h
+++ b/src/settings/schema.h
@@ -1,7 +1,8 @@
-// A settings file in TOML, checked key by key.
+// Reads a settings file in TOML and checks every key.
 //
-// Owns: the descriptions of all keys. Invariant: either every key was read and is in range, or the
-// caller gets every fault at once and no settings. Thread: any.
+// Owns: the descriptions of all keys. Invariant: Load() reports no error only if every given key is
+// known and in range and no required key is missing; else it reports all errors at once. Reads the
+// file; Load() is thread-safe as far as the assign functions are.
 #pragma once
 
 #include <toml++/toml.h>
@@ -16,10 +17,10 @@
 
 namespace valvekeel::settings {
 
-/// One fault of a settings file.
+/// One error in a settings file or an override.
 struct SettingError {
   std::string file;
-  std::uint32_t line = 0;  // 0: not from a line, such as a missing key
+  std::uint32_t line = 0;  // 0 if the error has no line, such as a missing key
   std::string key;
   std::string reason;
 };
@@ -27,43 +28,45 @@
 /// @return "file:line: key: reason".
 std::string Describe(const SettingError& error);
 
-/// One key: what it means and how it is taken over.
+/// One setting: its description, and how its value is checked and stored.
 struct Setting {
   std::string key;  // "section.name"
   std::string unit;
-  std::string fallback;  // default, as text
-  std::string meaning;
+  std::string default_value;  // as text
+  std::string description;
   bool required = false;
-  /// Takes the value over. @return the reason if it is not acceptable.
+  /// Checks and stores a value. @return the reason if the value is invalid.
   std::function<std::optional<std::string>(const toml::node&)> apply;
 };
 
-/// Keys that a program knows.
+/// The settings that a program supports. Each function that adds one gets `assign`, which stores a
+/// valid value.
 class Schema {
  public:
-  void Integer(std::string key, std::string unit, std::string meaning, std::int64_t lowest,
-               std::int64_t highest, std::int64_t fallback,
+  void Integer(std::string key, std::string unit, std::string description, std::int64_t min,
+               std::int64_t max, std::int64_t default_value,
                std::function<void(std::int64_t)> assign);
-  void Real(std::string key, std::string unit, std::string meaning, double lowest, double highest,
-            double fallback, std::function<void(double)> assign);
-  void Text(std::string key, std::string meaning, std::string fallback, bool required,
+  void Real(std::string key, std::string unit, std::string description, double min, double max,
+            double default_value, std::function<void(double)> assign);
+  void Text(std::string key, std::string description, std::string default_value, bool required,
             std::function<void(const std::string&)> assign);
-  void Choice(std::string key, std::string meaning, std::vector<std::string> choices,
-              std::string fallback, std::function<void(const std::string&)> assign);
-  void TextList(std::string key, std::string meaning,
+  void Choice(std::string key, std::string description, std::vector<std::string> choices,
+              std::string default_value, std::function<void(const std::string&)> assign);
+  void TextList(std::string key, std::string description,
                 std::function<void(const std::vector<std::string>&)> assign);
 
-  /// Reads a file and then the overrides. @param overrides texts "section.name=value".
-  /// @return every fault found; none if all was taken over.
+  /// Reads a file, if the path is not empty, and then the overrides.
+  /// @param overrides texts "section.name=value".
+  /// @return all errors found; empty if all values are valid and stored.
   std::vector<SettingError> Load(const std::string& path,
                                  const std::vector<std::string>& overrides) const;
 
-  /// @return a table in Markdown of all keys, for the operators' pages.
+  /// @return a table of all settings in Markdown, for the operators' documentation.
   std::string Markdown() const;
 
  private:
   void ApplyTable(const std::string& file, const toml::table& table, const std::string& prefix,
-                  std::vector<std::string>& seen, std::vector<SettingError>& errors) const;
+                  std::vector<std::string>& given_keys, std::vector<SettingError>& errors) const;
   const Setting* Find(const std::string& key) const;
 
   std::vector<Setting> settings_;
--- a/tests/runtime/bounded_log_test.cc
+++ b/tests/runtime/bounded_log_test.cc
@@ -13,7 +13,7 @@
 
 using common::Instant;
 
-/// A pipe whose ends are closed at the end of the test.
+/// A pipe whose ends the destructor closes.
 class Pipe {
  public:
   Pipe() { REQUIRE(::pipe(ends_.data()) == 0); }
@@ -51,7 +51,8 @@
   CHECK(line.at("mono_ms") == 5);
 }
 
-TEST_CASE("Lines over the limit of their event are counted and told with the next", "[runtime]") {
+TEST_CASE("Lines over the limit of their event are counted and reported in its next line",
+          "[runtime]") {
   const Pipe pipe;
   LogLimits limits;
   limits.lines_per_event = 2;
@@ -68,7 +69,8 @@
   CHECK(text.find("\"suppressed_before\":3") != std::string::npos);
 }
 
-TEST_CASE("A reader that stands still costs lines, never time or memory", "[runtime]") {
+TEST_CASE("A reader that stops reading causes dropped lines but no blocking or memory growth",
+          "[runtime]") {
   const Pipe pipe;
   LogLimits limits;
   limits.lines_per_event = 1'000'000;
@@ -80,7 +82,7 @@
   }
   CHECK_FALSE(log.Flush());
   CHECK(log.Dropped() > 0);
-  // Every line that comes out is whole.
+  // Every line that is written is complete.
   std::string text = pipe.Read();
   log.Flush();
   text += pipe.Read();
--- a/tests/settings/schema_test.cc
+++ b/tests/settings/schema_test.cc
@@ -10,7 +10,7 @@
 namespace valvekeel::settings {
 namespace {
 
-/// A file that is removed at the end of the test.
+/// A file that the destructor removes.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text) { std::ofstream(path) << text; }
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("Every fault of a settings file is reported with line and key at once", "[settings]") {
+TEST_CASE("All errors of a settings file are reported at once, with line and key", "[settings]") {
   const TemporaryFile file(
       "[daemon]\nid = \"a\"\nzone = 3\nplatfrom = \"x\"\nplatform = \"127.0.0.1\"\n"
       "[pool]\nprobe_interval_ms = 0\nuser = \"u\"\n[routing]\nretry_fraction = \"much\"\n");
@@ -39,7 +39,7 @@
   CHECK(all.find("daemon.platform: \"127.0.0.1\" is not host:port") != std::string::npos);
 }
 
-TEST_CASE("Overrides go before the file and are checked like it", "[settings]") {
+TEST_CASE("Overrides take precedence over the file and are checked like it", "[settings]") {
   const TemporaryFile file(
       "[daemon]\nid = \"a\"\nzone = \"z\"\nplatform = \"127.0.0.1:80\"\nseeds = [\"1.2.3.4:5\"]\n");
   auto loaded = daemon::LoadDaemonSettings(file.path, {"daemon.id=b", "pool.probe_interval_ms=77"});
@@ -60,7 +60,7 @@
   CHECK(common::ErrorOf(daemon::LoadDaemonSettings(empty.path, {})).size() == 3);
 }
 
-TEST_CASE("Specifications are refused with every field that is wrong", "[settings]") {
+TEST_CASE("Errors of a specification name every invalid field", "[settings]") {
   const auto database = configuration::ReadDatabaseSpec(
       "db", {{"instances",
               {{{"id", "0"}, {"zone", "a"}, {"host", "127.0.0.1"}, {"port", 70000}, {"slotz", 3}},
