--- a/src/host/catalog_copy_json.cc
+++ b/src/host/catalog_copy_json.cc
@@ -109,7 +109,7 @@
       EndpointFrom(value.at(2)),        value.at(3).get<std::string>(),
       value.at(4).get<std::uint32_t>(), value.at(5).get<bool>(),
       value.at(6).get<bool>(),          common::Duration(value.at(7).get<std::int64_t>())};
-  // Daemons of earlier versions don't tell it.
+  // Daemons of earlier versions do not send the incarnation.
   entry.incarnation = value.size() > kIncarnation ? value.at(kIncarnation).get<std::uint64_t>() : 0;
   return entry;
 }
@@ -129,7 +129,7 @@
   tenants::tenant tenant;
   tenant.name = value.at(0).get<std::string>();
   for (const json& digits : value.at(1)) {
-    // A digest that can't be read is no key: whoever has it is not let in.
+    // An unreadable digest is skipped, so callers that use this key are rejected.
     if (const auto key = tenants::from_hex(digits.get_ref<const std::string&>())) {
       tenant.keys.push_back(*key);
     }
--- a/src/host/catalog_copy_json.h
+++ b/src/host/catalog_copy_json.h
@@ -1,6 +1,6 @@
-// JSON form of the catalog that daemons hand to each other.
+// Encodes the catalog as JSON, so that one daemon can fetch a copy from another.
 //
-// Owns: nothing. Invariant: what Encode wrote, Decode reads back the same. Thread: any.
+// Invariant: decoding an encoded copy yields an equal copy. No I/O; thread-safe.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,13 +11,13 @@
 
 namespace valvekeel::host {
 
-/// A tenant as it stands in copies: its keys as digests.
+/// Encodes a tenant; its keys are written as digests in hexadecimal.
 nlohmann::json TenantToJson(const tenants::tenant& tenant);
 tenants::tenant TenantFromJson(const nlohmann::json& value);
 
 std::string EncodeCatalogCopy(const proxy::CatalogCopy& copy);
 
-/// @return the copy, or nothing if the text is not one.
+/// @return the copy, or nothing if the text is not a valid encoded copy.
 std::optional<proxy::CatalogCopy> DecodeCatalogCopy(const std::string& text);
 
 }  // namespace valvekeel::host
--- a/src/host/codec.h
+++ b/src/host/codec.h
@@ -1,7 +1,8 @@
-// Interfaces to the outside that an adapter implements: protocols, metadata store, promotion.
+// Declares the interfaces that a platform's adapter implements: protocols, metadata store,
+// promotion.
 //
-// Owns: nothing. Invariant: adapters translate only; they decide nothing and keep no state beyond
-// what decoding needs. Thread: the event loop's.
+// Invariant: adapters only translate. They make no decisions and keep only the state that decoding
+// needs. Not thread-safe: called on the event loop's thread.
 #pragma once
 
 #include <functional>
@@ -27,100 +28,104 @@
 /// First message of a caller.
 struct CallerStart {
   std::string database;
-  tenants::key_digest key;  // of the word by which the caller is known
+  tenants::key_digest key;  // digest of the key that the caller presented
 };
 
 /// The caller ends its session.
 struct CallerEnd {};
 
-/// What a caller sent can't be read; the session ends with this error.
-struct CallerFault {
+/// A caller's bytes cannot be decoded; the session ends with this error.
+struct CallerProtocolError {
   model::ErrorCode error = model::ErrorCode::kMalformed;
   std::string reason;
 };
 
-using CallerMessage = std::variant<CallerStart, proxy::CallerCommand, CallerEnd, CallerFault>;
+using CallerMessage =
+    std::variant<CallerStart, proxy::CallerCommand, CallerEnd, CallerProtocolError>;
 
-/// Protocol towards one caller.
+/// Protocol of one caller's session.
 class CallerCodec {
  public:
   virtual ~CallerCodec() = default;
 
-  /// Takes bytes. @return the messages that are whole; nothing follows a CallerFault.
+  /// Adds received bytes. @return the messages completed by them; a CallerProtocolError is the
+  /// last.
   virtual std::vector<CallerMessage> Decode(std::string_view bytes) = 0;
 
   virtual std::string EncodeAccept() = 0;
   virtual std::string EncodeReply(const model::Reply& reply) = 0;
 
-  /// Last bytes of a session that ends with an error.
-  virtual std::string EncodeFault(model::ErrorCode error, const std::string& text) = 0;
+  /// Encodes the error that ends a session; nothing may be sent after it.
+  virtual std::string EncodeError(model::ErrorCode error, const std::string& text) = 0;
 };
 
-/// The instance takes requests now.
+/// The instance accepted the connection and takes requests.
 struct InstanceAccepted {};
 
-/// The instance does not take the connection.
+/// The instance rejected the connection.
 struct InstanceRejected {
   model::ErrorCode error = model::ErrorCode::kFailed;
 };
 
-/// What the instance sent can't be read; the connection ends.
-struct InstanceFault {
+/// The instance's bytes cannot be decoded; the connection is closed.
+struct InstanceProtocolError {
   std::string reason;
 };
 
 using InstanceMessage =
-    std::variant<InstanceAccepted, InstanceRejected, model::Reply, InstanceFault>;
+    std::variant<InstanceAccepted, InstanceRejected, model::Reply, InstanceProtocolError>;
 
-/// Protocol towards one instance.
+/// Protocol of one connection to an instance.
 class InstanceCodec {
  public:
   virtual ~InstanceCodec() = default;
 
-  /// @param tenant whose requests the connection will carry; empty: the proxy's own.
+  /// Encodes the first message of a connection.
+  /// @param tenant whose requests the connection carries; empty for the proxy's own requests.
   virtual std::string EncodeStart(const std::string& service, const std::string& tenant,
                                   const std::string& instance) = 0;
   virtual std::string EncodeRequest(const model::InstanceRequest& request) = 0;
 
-  /// An answer will come to a caller's request that was passed on without being encoded here.
+  /// Expects one more answer: to a caller's request that was forwarded without EncodeRequest().
   virtual void ExpectAnswer() = 0;
 
-  /// Takes bytes. @return the messages that are whole; nothing follows an InstanceFault.
+  /// Adds received bytes. @return the messages completed by them; an InstanceProtocolError is the
+  /// last.
   virtual std::vector<InstanceMessage> Decode(std::string_view bytes) = 0;
 
-  /// @return true if the bytes taken so far end with a whole message.
-  virtual bool BetweenMessages() const = 0;
+  /// @return true if the bytes decoded so far end at the end of a message.
+  virtual bool AtMessageBoundary() const = 0;
 };
 
-/// The metadata store.
+/// Client of the metadata store. Handlers are called on the event loop's thread.
 class MetadataStore {
  public:
   using ReadHandler = std::function<void(const metadata::ReadResult&)>;
   using WriteHandler = std::function<void(const failover::WriteResult&)>;
-  using RegisterHandler = std::function<void(bool written)>;
+  using DaemonWriteHandler = std::function<void(bool written)>;
 
-  /// Takes the record and its revision, of number 0 if there is none, in the era that the answer is
-  /// of; nothing if there was no answer.
+  /// Gets the record and its revision in the era of the answer; the revision's number is 0 if there
+  /// is no record. Gets nothing if the store did not answer.
   using LeadershipHandler = std::function<void(
       const std::optional<std::pair<model::LeadershipRecord, model::Revision>>&)>;
 
-  /// Takes the newest configuration and its revision; nothing if there was no answer.
+  /// Gets the newest configuration and its revision; nothing if the store did not answer.
   using ConfigurationHandler =
       std::function<void(const std::optional<std::pair<model::Configuration, model::Revision>>&)>;
 
   virtual ~MetadataStore() = default;
   virtual void Read(const metadata::ReadCall& call, ReadHandler handler) = 0;
 
-  /// Reads an era's leadership record as it is now.
+  /// Reads the current leadership record of an era.
   virtual void ReadLeadership(std::uint64_t era, LeadershipHandler handler) = 0;
 
-  /// Reads the configuration as it is now, never from an old state.
+  /// Reads the current configuration, never a stale one.
   virtual void ReadConfiguration(ConfigurationHandler handler) = 0;
   virtual void WriteLeadership(const failover::ConditionalWrite& write, WriteHandler handler) = 0;
-  virtual void WriteDaemon(const model::DaemonEntry& entry, RegisterHandler handler) = 0;
+  virtual void WriteDaemon(const model::DaemonEntry& entry, DaemonWriteHandler handler) = 0;
 };
 
-/// The service that promotes instances.
+/// Client of the service that promotes instances.
 class PromotionService {
  public:
   using Handler = std::function<void(failover::PromotionStatus)>;
@@ -129,7 +134,7 @@
   virtual void Promote(const proxy::Promote& promotion, Handler handler) = 0;
 };
 
-/// All that a platform brings.
+/// Everything that a platform implements.
 class Adapter {
  public:
   virtual ~Adapter() = default;
--- a/src/host/configuration_copy.cc
+++ b/src/host/configuration_copy.cc
@@ -12,25 +12,25 @@
 
 using nlohmann::json;
 
-/// Gives each different value a number, in the order of their coming.
-class Numbering {
+/// Assigns an index to each distinct value, in the order of first use.
+class ValueTable {
  public:
-  std::size_t Of(const json& value) {
-    const auto [found, added] = numbers_.try_emplace(value.dump(), values_.size());
+  std::size_t IndexOf(const json& value) {
+    const auto [found, added] = indexes_.try_emplace(value.dump(), values_.size());
     if (added) {
       values_.push_back(value);
     }
     return found->second;
   }
 
-  json Take() { return std::move(values_); }
+  json TakeValues() { return std::move(values_); }
 
  private:
-  std::map<std::string, std::size_t> numbers_;
+  std::map<std::string, std::size_t> indexes_;
   json values_ = json::array();
 };
 
-/// @return what a route shares with many others.
+/// @return the fields of a route that are equal in many routes.
 json KindOf(const model::Route& route) {
   return json::array({static_cast<int>(route.consistency), route.timeout.count(),
                       route.target_latency.count(), route.priority, route.max_staleness.count(),
@@ -51,7 +51,7 @@
   return route;
 }
 
-/// @return what a service shares with many others.
+/// @return the fields of a service that are equal in many services.
 json KindOf(const model::Service& service) {
   return json::array({service.max_connections, service.sync_replicas, service.warm_up.time.count(),
                       service.warm_up.rate});
@@ -66,18 +66,19 @@
   return service;
 }
 
-json ServicesToJson(const model::Configuration& configuration, Numbering& kinds) {
+json ServicesToJson(const model::Configuration& configuration, ValueTable& kinds) {
   json services = json::array();
   for (const auto& [name, service] : configuration.services) {
-    services.push_back(json::array({name, kinds.Of(KindOf(service))}));
+    services.push_back(json::array({name, kinds.IndexOf(KindOf(service))}));
   }
   return services;
 }
 
-json RoutesToJson(const model::Configuration& configuration, Numbering& kinds, Numbering& names) {
+json RoutesToJson(const model::Configuration& configuration, ValueTable& kinds, ValueTable& names) {
   json routes = json::array();
   for (const auto& [database, route] : configuration.routes) {
-    routes.push_back(json::array({database, names.Of(route.service), kinds.Of(KindOf(route))}));
+    routes.push_back(
+        json::array({database, names.IndexOf(route.service), kinds.IndexOf(KindOf(route))}));
   }
   return routes;
 }
@@ -114,9 +115,9 @@
 }  // namespace
 
 std::string EncodeConfigurationCopy(const model::Configuration& configuration) {
-  Numbering service_kinds;
-  Numbering route_kinds;
-  Numbering names;
+  ValueTable service_kinds;
+  ValueTable route_kinds;
+  ValueTable names;
   json tenants = json::array();
   for (const auto& [name, tenant] : configuration.tenants) {
     tenants.push_back(TenantToJson(tenant));
@@ -126,9 +127,9 @@
                 {"services", ServicesToJson(configuration, service_kinds)},
                 {"routes", RoutesToJson(configuration, route_kinds, names)},
                 {"tenants", std::move(tenants)}};
-  whole["service_kinds"] = service_kinds.Take();
-  whole["route_kinds"] = route_kinds.Take();
-  whole["names"] = names.Take();
+  whole["service_kinds"] = service_kinds.TakeValues();
+  whole["route_kinds"] = route_kinds.TakeValues();
+  whole["names"] = names.TakeValues();
   std::string bytes;
   json::to_cbor(whole, bytes);
   return bytes;
@@ -144,7 +145,7 @@
   }
 }
 
-const std::string& ConfigurationCopyCache::Of(const model::Configuration& configuration) {
+const std::string& ConfigurationCopyCache::Encode(const model::Configuration& configuration) {
   if (bytes_.empty() || version_ != configuration.version) {
     version_ = configuration.version;
     bytes_ = EncodeConfigurationCopy(configuration);
--- a/src/host/configuration_copy.h
+++ b/src/host/configuration_copy.h
@@ -1,9 +1,10 @@
-// A configuration as one daemon hands it to many.
+// Encodes a configuration compactly in CBOR, so that one daemon can send it to many others.
 //
-// Most routes differ by their database and service alone, so what they share is written once: 3,250
-// routes before 1,000 services take 80 KB, where the whole catalog as JSON took 750 KB.
+// Most routes differ only in their database and service, so the fields that they share are written
+// once: 3,250 routes to 1,000 services take 80 KB, while the whole catalog as JSON takes 750 KB.
 //
-// Owns: nothing. Invariant: what is decoded is what was encoded. Thread: any.
+// Invariant: decoding an encoded configuration yields an equal configuration. No I/O. The functions
+// are thread-safe, the cache is not.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +19,15 @@
 
 std::string EncodeConfigurationCopy(const model::Configuration& configuration);
 
-/// @return nothing if the bytes are no configuration.
+/// @return the configuration, or nothing if the bytes are not a valid encoded configuration.
 std::optional<model::Configuration> DecodeConfigurationCopy(std::string_view bytes);
 
-/// Keeps the newest version encoded: a hub hands it to all daemons of its zone at once.
+/// Caches the encoded form of the newest version: a hub sends it to all daemons of its zone at
+/// once.
 class ConfigurationCopyCache {
  public:
-  const std::string& Of(const model::Configuration& configuration);
+  /// @return the encoded configuration; encodes only if the version differs from the cached one.
+  const std::string& Encode(const model::Configuration& configuration);
 
  private:
   std::uint64_t version_ = 0;
--- a/src/host/host_settings.cc
+++ b/src/host/host_settings.cc
@@ -12,27 +12,27 @@
 using settings::Schema;
 using settings::SettingError;
 
-constexpr std::int64_t kLongestMs = 3'600'000;
-constexpr double kMostCores = 1'024;
-constexpr double kThousandths = 1'000;
+constexpr std::int64_t kMaxMs = 3'600'000;
+constexpr double kMaxCores = 1'024;
+constexpr double kThousandthsPerCore = 1'000;
 
 std::int64_t Milliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-void Time(Schema& schema, const std::string& key, const std::string& meaning, std::int64_t lowest,
-          Duration* target) {
-  schema.Integer(key, "ms", meaning, lowest, kLongestMs, Milliseconds(*target),
+void AddTime(Schema& schema, const std::string& key, const std::string& description,
+             std::int64_t min, Duration* target) {
+  schema.Integer(key, "ms", description, min, kMaxMs, Milliseconds(*target),
                  [target](std::int64_t value) { *target = std::chrono::milliseconds(value); });
 }
 
-/// Words of `daemon.features` that this daemon knows.
+/// Values of `daemon.features` that this daemon supports.
 constexpr const char* kTenantsFeature = "tenants";
 constexpr const char* kQuotaFeature = "quota";
-constexpr double kMostSlack = 1e9;
+constexpr double kMaxSlack = 1e9;
 
-/// Adds what says how the deployment's tenants are known and limited.
-void AddTenantKeys(Schema& schema, tenants::tenant_policy& out) {
+/// Adds the settings of tenant identification and rate limits.
+void AddTenantSettings(Schema& schema, tenants::tenant_policy& out) {
   schema.TextList("daemon.features",
                   "what the deployment uses: tenants (callers are known by keys), quota (tenants' "
                   "rates are limited); others are ignored",
@@ -42,39 +42,39 @@
                       out.rates_limited = out.rates_limited || feature == kQuotaFeature;
                     }
                   });
-  Time(
+  AddTime(
       schema, "tenants.revocation_limit_ms",
       "from a key's removal until no daemon serves it, in touch with the store or not; 0: no bound",
       0, &out.revocation_limit);
   schema.Real("tenants.rate_slack", "operations",
-              "that may pass beyond a limit at once, since counts come late", 0.0, kMostSlack,
+              "that may pass beyond a limit at once, since counts come late", 0.0, kMaxSlack,
               out.rate_slack, [&out](double value) { out.rate_slack = value; });
 }
 
-/// Adds what says where work may run: regions, evacuated zones, instances that have just started.
-void AddAccessKeys(Schema& schema, proxy::ProxySettings& out) {
-  constexpr double kMostOverage = 100;
-  Time(schema, "evacuation.limit_ms",
-       "from an evacuation's acknowledgement until nothing goes to the zone's instances; 0: zones "
-       "are not evacuated",
-       0, &out.evacuation_limit);
-  schema.Real("warm_up.overage", "",
-              "times the rate of a starting instance that may reach it in a second", 1.0,
-              kMostOverage, out.warm_up.overage,
-              [&out](double value) { out.warm_up.overage = value; });
+/// Adds the settings that limit which instances get requests: evacuated zones and warm-up.
+void AddPlacementSettings(Schema& schema, proxy::ProxySettings& out) {
+  constexpr double kMaxOverage = 100;
+  AddTime(
+      schema, "evacuation.limit_ms",
+      "from an evacuation's acknowledgement until nothing goes to the zone's instances; 0: zones "
+      "are not evacuated",
+      0, &out.evacuation_limit);
+  schema.Real(
+      "warm_up.overage", "", "times the rate of a starting instance that may reach it in a second",
+      1.0, kMaxOverage, out.warm_up.overage, [&out](double value) { out.warm_up.overage = value; });
   schema.Real("warm_up.slack", "requests", "that may reach a starting instance besides", 0.0,
-              kMostSlack, out.warm_up.slack, [&out](double value) { out.warm_up.slack = value; });
+              kMaxSlack, out.warm_up.slack, [&out](double value) { out.warm_up.slack = value; });
 }
 
-/// Adds a whole number from 1 on.
+/// Adds an integer setting with a minimum of 1.
 template <typename Whole>
-void Count(Schema& schema, const std::string& key, const std::string& unit,
-           const std::string& meaning, Whole* target) {
-  schema.Integer(key, unit, meaning, 1, 100'000, static_cast<std::int64_t>(*target),
+void AddCount(Schema& schema, const std::string& key, const std::string& unit,
+              const std::string& description, Whole* target) {
+  schema.Integer(key, unit, description, 1, 100'000, static_cast<std::int64_t>(*target),
                  [target](std::int64_t value) { *target = static_cast<Whole>(value); });
 }
 
-/// Addresses as texts, before they are checked.
+/// Unparsed values of settings: addresses and regions.
 struct AddressTexts {
   std::string callers;
   std::string health;
@@ -86,94 +86,97 @@
   std::vector<std::string> zone_regions;  // "zone=region"
 };
 
-void Address(Schema& schema, const std::string& key, const std::string& meaning,
-             std::string* target) {
-  schema.Text(key, meaning + ", host:port", "", true,
+void AddAddress(Schema& schema, const std::string& key, const std::string& description,
+                std::string* target) {
+  schema.Text(key, description + ", host:port", "", true,
               [target](const std::string& value) { *target = value; });
 }
 
-void AddKeys(Schema& schema, HostSettings& out, AddressTexts& texts) {
+void AddSettings(Schema& schema, HostSettings& out, AddressTexts& texts) {
   schema.Text("daemon.name", "name of this daemon, unique among all", "", true,
               [&out](const std::string& value) { out.proxy.name = value; });
   schema.Text("daemon.zone", "zone in which this daemon runs", "", true,
               [&out](const std::string& value) { out.proxy.zone = value; });
   schema.Real("daemon.processor_share", "cores",
               "this machine's share of a processor core, 0 if unknown: larger ones get more work",
-              0.0, kMostCores, 0.0, [&out](double value) {
-                out.proxy.capacity = static_cast<std::uint32_t>(std::lround(value * kThousandths));
+              0.0, kMaxCores, 0.0, [&out](double value) {
+                out.proxy.capacity =
+                    static_cast<std::uint32_t>(std::lround(value * kThousandthsPerCore));
               });
-  Address(schema, "listen.callers", "where callers connect", &texts.callers);
-  Address(schema, "listen.health", "where readiness is asked for", &texts.health);
+  AddAddress(schema, "listen.callers", "where callers connect", &texts.callers);
+  AddAddress(schema, "listen.health", "where readiness is asked for", &texts.health);
   schema.Text("listen.health_path", "path that answers 200 if ready, else 503", out.health_path,
               false, [&out](const std::string& value) { out.health_path = value; });
-  Address(schema, "listen.admin", "metrics, status and the catalog for other daemons",
-          &texts.admin);
-  Address(schema, "listen.peer",
-          "heartbeats of other daemons (UDP) and sessions that they hand over (TCP)", &texts.peer);
-  Address(schema, "store.address", "the metadata store", &texts.store);
-  Address(schema, "promotion.address", "the promotion service", &texts.promotion);
+  AddAddress(schema, "listen.admin", "metrics, status and the catalog for other daemons",
+             &texts.admin);
+  AddAddress(schema, "listen.peer",
+             "heartbeats of other daemons (UDP) and sessions that they hand over (TCP)",
+             &texts.peer);
+  AddAddress(schema, "store.address", "the metadata store", &texts.store);
+  AddAddress(schema, "promotion.address", "the promotion service", &texts.promotion);
   schema.TextList("daemon.seeds", "admin addresses of daemons that may be running",
                   [&texts](const std::vector<std::string>& value) { texts.seeds = value; });
   schema.Choice("daemon.first_start",
                 "whether all daemons start for the first time: they greet each other first",
                 {"true", "false", ""}, "false",
                 [&out](const std::string& value) { out.proxy.first_start = value == "true"; });
-  Time(schema, "daemon.stop_grace_ms", "time from the stop signal until the process is killed", 1,
-       &out.proxy.stop_grace);
-  Time(schema, "daemon.drain_limit_ms", "longest use of an instance that leaves", 1,
-       &out.proxy.drain_limit);
-  Time(schema, "store.watch_wait_ms", "longest wait of a watch", 100, &out.proxy.watch_wait);
-  Time(schema, "store.relaxed_watch_wait_ms",
-       "large deployments: longest wait of a watch, but for coordinators", 100,
-       &out.proxy.relaxed_watch_wait);
-  Time(schema, "peers.heartbeat_ms", "time between heartbeats to a live daemon", 10,
-       &out.proxy.heartbeat_interval);
-  Time(schema, "peers.coordinator_heartbeat_ms",
-       "large deployments: time between heartbeats among coordinators", 10,
-       &out.proxy.coordinator_heartbeat_interval);
-  Time(schema, "peers.standby_heartbeat_ms",
-       "large deployments: time between heartbeats of an owner and a coordinator that doesn't act",
-       10, &out.proxy.standby_heartbeat_interval);
-  Time(schema, "peers.owner_heartbeat_ms",
-       "large deployments: time between heartbeats of an owner to its hubs", 10,
-       &out.proxy.owner_heartbeat_interval);
-  Time(schema, "peers.hub_heartbeat_ms",
-       "large deployments: time between heartbeats of other daemons and hubs, and among hubs", 10,
-       &out.proxy.view.hub_interval);
-  Count(schema, "peers.hubs_per_zone", "daemons",
-        "large deployments: daemons of a zone that hear all others of it",
-        &out.proxy.view.hubs_per_zone);
-  AddTenantKeys(schema, out.proxy.tenants);
-  AddAccessKeys(schema, out.proxy);
+  AddTime(schema, "daemon.stop_grace_ms", "time from the stop signal until the process is killed",
+          1, &out.proxy.stop_grace);
+  AddTime(schema, "daemon.drain_limit_ms", "longest use of an instance that leaves", 1,
+          &out.proxy.drain_limit);
+  AddTime(schema, "store.watch_wait_ms", "longest wait of a watch", 100, &out.proxy.watch_wait);
+  AddTime(schema, "store.relaxed_watch_wait_ms",
+          "large deployments: longest wait of a watch, but for coordinators", 100,
+          &out.proxy.relaxed_watch_wait);
+  AddTime(schema, "peers.heartbeat_ms", "time between heartbeats to a live daemon", 10,
+          &out.proxy.heartbeat_interval);
+  AddTime(schema, "peers.coordinator_heartbeat_ms",
+          "large deployments: time between heartbeats among coordinators", 10,
+          &out.proxy.coordinator_heartbeat_interval);
+  AddTime(
+      schema, "peers.standby_heartbeat_ms",
+      "large deployments: time between heartbeats of an owner and a coordinator that doesn't act",
+      10, &out.proxy.standby_heartbeat_interval);
+  AddTime(schema, "peers.owner_heartbeat_ms",
+          "large deployments: time between heartbeats of an owner to its hubs", 10,
+          &out.proxy.owner_heartbeat_interval);
+  AddTime(schema, "peers.hub_heartbeat_ms",
+          "large deployments: time between heartbeats of other daemons and hubs, and among hubs",
+          10, &out.proxy.view.hub_interval);
+  AddCount(schema, "peers.hubs_per_zone", "daemons",
+           "large deployments: daemons of a zone that hear all others of it",
+           &out.proxy.view.hubs_per_zone);
+  AddTenantSettings(schema, out.proxy.tenants);
+  AddPlacementSettings(schema, out.proxy);
   schema.TextList("daemon.zone_regions", "region of each zone of the deployment, as zone=region",
                   [&texts](const std::vector<std::string>& value) { texts.zone_regions = value; });
-  Count(schema, "relay.most_meshed_daemons", "daemons",
-        "up to so many, all coordinate and send heartbeats at full pace",
-        &out.proxy.roles.most_meshed_daemons);
-  Count(schema, "relay.coordinators", "daemons",
-        "large deployments: daemons that watch every group and replace primaries",
-        &out.proxy.roles.coordinators);
-  Count(schema, "relay.owners_per_zone", "daemons",
-        "daemons of a zone that hold connections to a service's instances",
-        &out.proxy.roles.owners_per_zone);
-  Count(schema, "relay.owner_pool", "daemons",
-        "daemons of a zone, the largest first, among whom the owners of all services are chosen",
-        &out.proxy.roles.owner_pool);
+  AddCount(schema, "relay.most_meshed_daemons", "daemons",
+           "up to so many, all coordinate and send heartbeats at full pace",
+           &out.proxy.roles.most_meshed_daemons);
+  AddCount(schema, "relay.coordinators", "daemons",
+           "large deployments: daemons that watch every group and replace primaries",
+           &out.proxy.roles.coordinators);
+  AddCount(schema, "relay.owners_per_zone", "daemons",
+           "daemons of a zone that hold connections to a service's instances",
+           &out.proxy.roles.owners_per_zone);
+  AddCount(schema, "relay.owner_pool", "daemons",
+           "daemons of a zone, the largest first, among whom the owners of all services are chosen",
+           &out.proxy.roles.owner_pool);
   schema.Real("relay.owner_pool_share", "",
               "share of the zone's processors that this pool has at least; it grows by doubling",
               0.0, 1.0, out.proxy.roles.owner_pool_share,
               [&out](double value) { out.proxy.roles.owner_pool_share = value; });
-  Count(schema, "relay.direct_again_connections", "connections",
-        "large deployments: share from which on a service with owners does without them",
-        &out.proxy.roles.direct_again_connections);
-  Count(schema, "relay.least_direct_connections", "connections",
-        "share of an instance's connections below which a service gets owners",
-        &out.proxy.roles.least_direct_connections);
-  Count(schema, "relay.reserved_connections", "connections",
-        "connections of an instance that no daemon's share contains",
-        &out.proxy.roles.reserved_connections);
-  Time(schema, "groups.lease_round_ms", "time between rounds that renew the read lease", 10,
-       &out.proxy.lease_round_interval);
+  AddCount(schema, "relay.direct_again_connections", "connections",
+           "large deployments: share from which on a service with owners does without them",
+           &out.proxy.roles.direct_again_connections);
+  AddCount(schema, "relay.least_direct_connections", "connections",
+           "share of an instance's connections below which a service gets owners",
+           &out.proxy.roles.least_direct_connections);
+  AddCount(schema, "relay.reserved_connections", "connections",
+           "connections of an instance that no daemon's share contains",
+           &out.proxy.roles.reserved_connections);
+  AddTime(schema, "groups.lease_round_ms", "time between rounds that renew the read lease", 10,
+          &out.proxy.lease_round_interval);
   schema.Real("requests.hold_fraction", "",
               "share of the target latency for which a statement may wait for an instance", 0.0,
               10.0, out.proxy.hold_fraction,
@@ -183,8 +186,8 @@
                 {"true", "false"}, out.proxy.early_refusal ? "true" : "false",
                 [&out](const std::string& value) { out.proxy.early_refusal = value == "true"; });
   schema.Integer("requests.most_sessions", "sessions", "callers' sessions at once", 1, 1'000'000,
-                 static_cast<std::int64_t>(out.most_sessions), [&out](std::int64_t value) {
-                   out.most_sessions = static_cast<std::size_t>(value);
+                 static_cast<std::int64_t>(out.max_sessions), [&out](std::int64_t value) {
+                   out.max_sessions = static_cast<std::size_t>(value);
                  });
   schema.Integer("log.lines_per_event", "lines/s", "lines of one event in a second", 1, 100'000,
                  out.log.lines_per_event, [&out](std::int64_t value) {
@@ -192,15 +195,15 @@
                  });
 }
 
-/// Parses the addresses, notes those that are none.
-class AddressCheck {
+/// Parses addresses and records an error for each invalid one.
+class AddressParser {
  public:
-  AddressCheck(std::string path, std::vector<SettingError>& errors)
+  AddressParser(std::string path, std::vector<SettingError>& errors)
       : path_(std::move(path)), errors_(errors) {}
 
-  void Take(const std::string& key, const std::string& text, common::Endpoint* target) {
+  void Parse(const std::string& key, const std::string& text, common::Endpoint* target) {
     if (text.empty()) {
-      return;  // reported as missing already
+      return;  // already reported as missing
     }
     const auto parsed = common::ParseEndpoint(text);
     if (parsed) {
@@ -215,9 +218,9 @@
   std::vector<SettingError>& errors_;
 };
 
-/// Parses texts "zone=region", notes those that are none.
-void TakeRegions(const std::vector<std::string>& texts, const std::string& path,
-                 proxy::ProxySettings& out, std::vector<SettingError>& errors) {
+/// Parses texts "zone=region" and records an error for each invalid one.
+void ParseZoneRegions(const std::vector<std::string>& texts, const std::string& path,
+                      proxy::ProxySettings& out, std::vector<SettingError>& errors) {
   for (const std::string& text : texts) {
     const std::size_t equals = text.find('=');
     const bool valid = equals != std::string::npos && equals > 0 && equals + 1 < text.size();
@@ -242,20 +245,20 @@
   HostSettings out;
   AddressTexts texts;
   Schema schema;
-  AddKeys(schema, out, texts);
+  AddSettings(schema, out, texts);
   std::vector<SettingError> errors = schema.Load(path, overrides);
-  AddressCheck check(path, errors);
-  check.Take("listen.callers", texts.callers, &out.callers);
-  check.Take("listen.health", texts.health, &out.health);
-  check.Take("listen.admin", texts.admin, &out.admin);
+  AddressParser parser(path, errors);
+  parser.Parse("listen.callers", texts.callers, &out.callers);
+  parser.Parse("listen.health", texts.health, &out.health);
+  parser.Parse("listen.admin", texts.admin, &out.admin);
   out.proxy.admin_port = out.admin.port;
-  check.Take("listen.peer", texts.peer, &out.proxy.peer);
-  check.Take("store.address", texts.store, &out.store);
-  check.Take("promotion.address", texts.promotion, &out.promotion);
-  TakeRegions(texts.zone_regions, path, out.proxy, errors);
+  parser.Parse("listen.peer", texts.peer, &out.proxy.peer);
+  parser.Parse("store.address", texts.store, &out.store);
+  parser.Parse("promotion.address", texts.promotion, &out.promotion);
+  ParseZoneRegions(texts.zone_regions, path, out.proxy, errors);
   for (const std::string& text : texts.seeds) {
     common::Endpoint seed;
-    check.Take("daemon.seeds", text, &seed);
+    parser.Parse("daemon.seeds", text, &seed);
     if (seed.port != 0 && seed.host != out.admin.host) {
       out.proxy.seed_catalogs.push_back(seed);
       out.proxy.seed_peers.push_back({seed.host, out.proxy.peer.port});
@@ -271,7 +274,7 @@
   HostSettings out;
   AddressTexts texts;
   Schema schema;
-  AddKeys(schema, out, texts);
+  AddSettings(schema, out, texts);
   return schema.Markdown();
 }
 
--- a/src/host/host_settings.h
+++ b/src/host/host_settings.h
@@ -1,7 +1,6 @@
-// Settings of a daemon that runs the proxy's decision code.
+// Loads and checks the settings of a daemon that runs the proxy's decision code.
 //
-// Owns: the typed settings and their schema. Invariant: LoadHostSettings returns only settings that
-// passed every check. Thread: any (values only).
+// Invariant: LoadHostSettings returns only settings that passed every check. Thread-safe.
 #pragma once
 
 #include <unistd.h>
@@ -20,24 +19,24 @@
 
 struct HostSettings {
   proxy::ProxySettings proxy;
-  common::Endpoint callers;  // listens for callers
-  common::Endpoint health;   // answers whether the daemon is ready
+  common::Endpoint callers;  // listens for callers' sessions
+  common::Endpoint health;   // serves the readiness check over HTTP
   std::string health_path = "/ready";
-  common::Endpoint admin;      // metrics, status, catalog for other daemons
+  common::Endpoint admin;      // serves metrics, and the catalog for other daemons
   common::Endpoint store;      // the metadata store
   common::Endpoint promotion;  // the promotion service
-  std::size_t most_sessions = 3000;
+  std::size_t max_sessions = 3000;
   common::Duration connect_timeout{500'000};
   runtime::LogLimits log;
-  int log_descriptor = STDOUT_FILENO;  // that tests set: no setting of the daemon reaches it
+  int log_descriptor = STDOUT_FILENO;  // set only by tests; there is no setting for it
 };
 
 /// @param path settings file in TOML. @param overrides texts "section.name=value".
-/// @return the settings, or every fault found.
+/// @return the settings, or every error found.
 common::Result<HostSettings, std::vector<settings::SettingError>> LoadHostSettings(
     const std::string& path, const std::vector<std::string>& overrides);
 
-/// @return the table of all settings for the operators' pages.
+/// @return a table of all settings in Markdown, for the operators' documentation.
 std::string HostSettingsMarkdown();
 
 }  // namespace valvekeel::host
--- a/src/host/metrics.h
+++ b/src/host/metrics.h
@@ -1,6 +1,7 @@
-// Counters, gauges and latency histograms of a daemon, in Prometheus' text form.
+// Exports counters, gauges and latency histograms of a daemon in Prometheus' text format.
 //
-// Owns: the registry. Invariant: counters never fall within one life. Thread: the event loop's.
+// Owns: the registry. Invariant: counters never decrease while the process runs. Not thread-safe:
+// used on the event loop's thread.
 #pragma once
 
 #include <prometheus/registry.h>
@@ -14,9 +15,9 @@
 
 namespace valvekeel::host {
 
-/// Heartbeats as the host sends them.
-struct HeartbeatFigures {
-  std::size_t largest = 0;  // bytes
+/// Statistics of the heartbeats that the host sends.
+struct HeartbeatStats {
+  std::size_t largest_bytes = 0;
   std::uint64_t unsent = 0;
 };
 
@@ -24,18 +25,18 @@
  public:
   Metrics();
 
-  /// Notes how long a statement took.
+  /// Adds the durations of a statement to the histograms.
   void Observe(const proxy::StatementTimes& times);
 
-  /// @return all figures as text, with the state of the decision code as it is now.
-  std::string Text(proxy::Proxy& proxy, const runtime::BoundedLog& log,
-                   const HeartbeatFigures& heartbeats, common::Instant now);
+  /// @return all metrics in text format, with the current state of the decision code.
+  std::string Serialize(proxy::Proxy& proxy, const runtime::BoundedLog& log,
+                        const HeartbeatStats& heartbeats, common::Instant now);
 
  private:
-  void TenantGauges(proxy::Proxy& proxy, common::Instant now);
-  void EvacuationGauges(const proxy::Proxy& proxy, common::Instant now);
-  void Gauge(const std::string& name, const std::string& help,
-             const std::map<std::string, std::string>& labels, double value);
+  void SetTenantGauges(proxy::Proxy& proxy, common::Instant now);
+  void SetEvacuationGauges(const proxy::Proxy& proxy, common::Instant now);
+  void SetGauge(const std::string& name, const std::string& help,
+                const std::map<std::string, std::string>& labels, double value);
 
   prometheus::Registry registry_;
   prometheus::Family<prometheus::Histogram>& statement_seconds_;
--- a/src/host/proxy_host.cc
+++ b/src/host/proxy_host.cc
@@ -9,13 +9,13 @@
 namespace valvekeel::host {
 namespace {
 
-constexpr int kNotReadyStatus = 503;
-constexpr int kNotFoundStatus = 404;
+constexpr int kHttpServiceUnavailable = 503;
+constexpr int kHttpNotFound = 404;
 constexpr const char* kMetricsPath = "/metrics";
-/// Connections that are remembered beside those of sessions before closed ones are looked for.
-constexpr std::size_t kFewStreams = 64;
-/// Bytes of a caller kept for an owner until its session is accepted.
-constexpr std::size_t kMostUnaccepted = std::size_t{64} << 10U;
+/// Tracked connections in excess of the sessions from which on closed ones are dropped.
+constexpr std::size_t kStreamsBeforeCleanup = 64;
+/// Limit of the bytes of a caller that are kept for an owner until the session is accepted.
+constexpr std::size_t kMaxUnacceptedBytes = std::size_t{64} << 10U;
 
 }  // namespace
 
@@ -28,8 +28,8 @@
            settings_.log),
       callers_listener_(loop,
                         [this](asio::ip::tcp::socket socket) { AddCaller(std::move(socket)); }),
-      handover_listener_(
-          loop, [this](asio::ip::tcp::socket socket) { AddHandedOver(std::move(socket)); }),
+      handover_listener_(loop,
+                         [this](asio::ip::tcp::socket socket) { AddHandover(std::move(socket)); }),
       peers_(loop),
       tick_(loop) {}
 
@@ -62,7 +62,7 @@
 
 void ProxyHost::Stop() {
   proxy_.Stop(common::SteadyNow());
-  Drain();
+  ExecuteActions();
 }
 
 bool ProxyHost::ListenForPeers() {
@@ -75,7 +75,7 @@
     return false;
   }
   peers_.non_blocking(true, error);
-  ReceivePeer();
+  ReceivePeerMessage();
   return true;
 }
 
@@ -86,31 +86,33 @@
       return;
     }
     proxy_.Tick(common::SteadyNow());
-    Drain();
-    if (ending_) {
+    ExecuteActions();
+    if (exit_requested_) {
       return;
     }
     log_.Flush();
-    ForgetClosedStreams();
+    DropClosedStreams();
     ScheduleTick();
   });
 }
 
 void ProxyHost::AddCaller(asio::ip::tcp::socket socket) {
   auto stream = std::make_shared<net::Stream>(loop_, std::move(socket));
-  Remember(stream);
+  TrackStream(stream);
   const proxy::SessionNumber number = AddSession(stream, {});
   if (number != 0) {
-    stream->Start([this, number](std::string_view bytes) { CallerBytes(number, bytes); },
-                  [this, number] { CallerGone(number); });
+    stream->Start([this, number](std::string_view bytes) { OnCallerBytes(number, bytes); },
+                  [this, number] { OnCallerClosed(number); });
   }
 }
 
-void ProxyHost::Remember(const std::shared_ptr<net::Stream>& stream) { streams_.push_back(stream); }
+void ProxyHost::TrackStream(const std::shared_ptr<net::Stream>& stream) {
+  streams_.push_back(stream);
+}
 
-void ProxyHost::ForgetClosedStreams() {
-  // Each holds 8 KB: a burst of sessions must not leave that behind.
-  if (streams_.size() > callers_.size() + kFewStreams) {
+void ProxyHost::DropClosedStreams() {
+  // Each stream holds 8 KB, which must not stay allocated after a burst of sessions.
+  if (streams_.size() > callers_.size() + kStreamsBeforeCleanup) {
     std::erase_if(streams_, [](const auto& each) { return !each->Open(); });
   }
 }
@@ -118,9 +120,9 @@
 proxy::SessionNumber ProxyHost::AddSession(const std::shared_ptr<net::Stream>& stream,
                                            const proxy::SessionOrigin& origin) {
   auto codec = adapter_.NewCallerCodec();
-  if (callers_.size() >= settings_.most_sessions) {
+  if (callers_.size() >= settings_.max_sessions) {
     stream->Send(
-        codec->EncodeFault(model::ErrorCode::kBusy, "retry_after_ms=1000 too many sessions"));
+        codec->EncodeError(model::ErrorCode::kBusy, "retry_after_ms=1000 too many sessions"));
     stream->CloseAfterFlush();
     return 0;
   }
@@ -132,50 +134,50 @@
   return number;
 }
 
-void ProxyHost::AddHandedOver(asio::ip::tcp::socket socket) {
+void ProxyHost::AddHandover(asio::ip::tcp::socket socket) {
   asio::error_code error;
   const std::string daemon = socket.remote_endpoint(error).address().to_string();
   auto stream = std::make_shared<net::Stream>(loop_, std::move(socket));
-  Remember(stream);
-  struct Arrival {
+  TrackStream(stream);
+  struct PendingHandover {
     std::string line;
     proxy::SessionNumber number = 0;
   };
-  const auto arrival = std::make_shared<Arrival>();
+  const auto pending = std::make_shared<PendingHandover>();
   const std::weak_ptr<net::Stream> weak = stream;
-  const auto take = [this, weak, arrival, daemon](std::string_view bytes) {
-    if (arrival->number != 0) {
-      CallerBytes(arrival->number, bytes);
+  const auto on_bytes = [this, weak, pending, daemon](std::string_view bytes) {
+    if (pending->number != 0) {
+      OnCallerBytes(pending->number, bytes);
       return;
     }
-    arrival->line += bytes;
-    const auto stream_now = weak.lock();
-    const std::size_t end = arrival->line.find('\n');
-    const auto handover = relay::decode(std::string_view(arrival->line).substr(0, end));
-    if (end == std::string::npos && arrival->line.size() < relay::MAX_HANDOVER_BYTES) {
+    pending->line += bytes;
+    const auto live_stream = weak.lock();
+    const std::size_t end = pending->line.find('\n');
+    const auto handover = relay::decode(std::string_view(pending->line).substr(0, end));
+    if (end == std::string::npos && pending->line.size() < relay::MAX_HANDOVER_BYTES) {
       return;
     }
     if (end == std::string::npos || !handover) {
       Log("handover_unreadable", {{"from", daemon}});
-      stream_now->Close();
+      live_stream->Close();
       return;
     }
-    const std::string rest = arrival->line.substr(end + 1);
-    arrival->number = AddSession(
-        stream_now,
+    const std::string rest = pending->line.substr(end + 1);
+    pending->number = AddSession(
+        live_stream,
         {true, {daemon, 0}, handover->least_configuration, handover->supports_end_request});
-    if (arrival->number != 0 && !rest.empty()) {
-      CallerBytes(arrival->number, rest);
+    if (pending->number != 0 && !rest.empty()) {
+      OnCallerBytes(pending->number, rest);
     }
   };
-  stream->Start(take, [this, arrival] {
-    if (arrival->number != 0) {
-      CallerGone(arrival->number);
+  stream->Start(on_bytes, [this, pending] {
+    if (pending->number != 0) {
+      OnCallerClosed(pending->number);
     }
   });
 }
 
-void ProxyHost::CallerBytes(proxy::SessionNumber number, std::string_view bytes) {
+void ProxyHost::OnCallerBytes(proxy::SessionNumber number, std::string_view bytes) {
   const auto found = callers_.find(number);
   if (found == callers_.end()) {
     return;
@@ -183,21 +185,21 @@
   Caller& caller = found->second;
   if (caller.link) {
     caller.link->send(bytes);
-  } else if (caller.unaccepted.size() < kMostUnaccepted && !caller.accepted) {
+  } else if (caller.unaccepted.size() < kMaxUnacceptedBytes && !caller.accepted) {
     caller.unaccepted += bytes;
   }
   const std::vector<CallerMessage> messages = caller.codec->Decode(bytes);
   const common::Instant now = common::SteadyNow();
   for (const CallerMessage& message : messages) {
-    if (!TakeCallerMessage(number, message, now)) {
+    if (!HandleCallerMessage(number, message, now)) {
       return;
     }
   }
-  Drain();
+  ExecuteActions();
 }
 
-bool ProxyHost::TakeCallerMessage(proxy::SessionNumber number, const CallerMessage& message,
-                                  common::Instant now) {
+bool ProxyHost::HandleCallerMessage(proxy::SessionNumber number, const CallerMessage& message,
+                                    common::Instant now) {
   const auto found = callers_.find(number);
   if (found == callers_.end()) {
     return false;
@@ -216,29 +218,30 @@
     proxy_.CommandReceived(number, *command, now);
     return true;
   }
-  if (const auto* fault = std::get_if<CallerFault>(&message)) {
-    caller.stream->Send(caller.codec->EncodeFault(fault->error, fault->reason));
+  if (const auto* fault = std::get_if<CallerProtocolError>(&message)) {
+    caller.stream->Send(caller.codec->EncodeError(fault->error, fault->reason));
   }
   caller.stream->CloseAfterFlush();
-  CallerGone(number);
+  OnCallerClosed(number);
   return false;
 }
 
-void ProxyHost::CallerGone(proxy::SessionNumber number) {
+void ProxyHost::OnCallerClosed(proxy::SessionNumber number) {
   callers_.erase(number);
   proxy_.SessionClosed(number, common::SteadyNow());
-  Drain();
+  ExecuteActions();
 }
 
-void ProxyHost::InstanceConnected(proxy::ConnectionNumber number,
-                                  const proxy::OpenConnection& action) {
+void ProxyHost::OnInstanceConnected(proxy::ConnectionNumber number,
+                                    const proxy::OpenConnection& action) {
   const auto found = instances_.find(number);
   if (found == instances_.end()) {
     return;
   }
   InstanceConnection& connection = found->second;
-  connection.stream->Start([this, number](std::string_view bytes) { InstanceBytes(number, bytes); },
-                           [this, number] { InstanceGone(number); });
+  connection.stream->Start(
+      [this, number](std::string_view bytes) { OnInstanceBytes(number, bytes); },
+      [this, number] { OnInstanceClosed(number); });
   connection.stream->Send(
       connection.codec->EncodeStart(action.service, action.tenant, action.instance));
 }
@@ -253,25 +256,25 @@
   instances_.erase(found);
   stream->Close();
   proxy_.ConnectionFailed(number, failure, error, common::SteadyNow());
-  Drain();
+  ExecuteActions();
 }
 
-void ProxyHost::InstanceBytes(proxy::ConnectionNumber number, std::string_view bytes) {
+void ProxyHost::OnInstanceBytes(proxy::ConnectionNumber number, std::string_view bytes) {
   const auto found = instances_.find(number);
   if (found == instances_.end()) {
     return;
   }
   const std::vector<InstanceMessage> messages = found->second.codec->Decode(bytes);
   for (const InstanceMessage& message : messages) {
-    if (!TakeInstanceMessage(number, message)) {
+    if (!HandleInstanceMessage(number, message)) {
       break;
     }
   }
-  Drain();
+  ExecuteActions();
 }
 
-bool ProxyHost::TakeInstanceMessage(proxy::ConnectionNumber number,
-                                    const InstanceMessage& message) {
+bool ProxyHost::HandleInstanceMessage(proxy::ConnectionNumber number,
+                                      const InstanceMessage& message) {
   const auto found = instances_.find(number);
   if (found == instances_.end()) {
     return false;
@@ -290,7 +293,7 @@
     proxy_.InstanceAnswered(number, *reply, now);
     return true;
   }
-  Log("instance_protocol_error", {{"reason", std::get<InstanceFault>(message).reason}});
+  Log("instance_protocol_error", {{"reason", std::get<InstanceProtocolError>(message).reason}});
   const auto stream = found->second.stream;
   instances_.erase(found);
   stream->Close();
@@ -298,56 +301,56 @@
   return false;
 }
 
-void ProxyHost::InstanceGone(proxy::ConnectionNumber number) {
+void ProxyHost::OnInstanceClosed(proxy::ConnectionNumber number) {
   if (instances_.erase(number) > 0) {
     proxy_.ConnectionClosed(number, common::SteadyNow());
-    Drain();
+    ExecuteActions();
   }
 }
 
-void ProxyHost::ReceivePeer() {
+void ProxyHost::ReceivePeerMessage() {
   peers_.async_receive_from(
-      asio::buffer(peer_input_), peer_sender_,
+      asio::buffer(peer_buffer_), peer_sender_,
       [this](const asio::error_code& error, std::size_t count) {
         if (error == asio::error::operation_aborted) {
           return;
         }
         if (!error) {
-          const auto message = proxy::DecodePeerMessage({peer_input_.data(), count});
+          const auto message = proxy::DecodePeerMessage({peer_buffer_.data(), count});
           if (common::IsOk(message)) {
             proxy_.PeerMessageReceived({peer_sender_.address().to_string(), peer_sender_.port()},
                                        common::ValueOf(message), common::SteadyNow());
-            Drain();
+            ExecuteActions();
           }
         }
-        ReceivePeer();
+        ReceivePeerMessage();
       });
 }
 
 net::HttpResponse ProxyHost::AnswerHttp(const net::HttpMessage& request) {
   if (request.target == settings_.health_path) {
-    return {ready_ ? kReadyStatus : kNotReadyStatus, "", "text/plain", {}};
+    return {ready_ ? kHttpOk : kHttpServiceUnavailable, "", "text/plain", {}};
   }
   if (request.target == kCatalogPath) {
-    return {kReadyStatus, EncodeCatalogCopy(proxy_.CopyCatalog()), "application/json", {}};
+    return {kHttpOk, EncodeCatalogCopy(proxy_.CopyCatalog()), "application/json", {}};
   }
   if (request.target == kConfigurationPath) {
-    return {kReadyStatus,
-            configuration_copy_.Of(proxy_.CatalogView().Configuration()),
+    return {kHttpOk,
+            configuration_copy_.Encode(proxy_.CatalogView().Configuration()),
             "application/cbor",
             {}};
   }
   if (request.target == kMetricsPath) {
-    return {
-        kReadyStatus,
-        metrics_.Text(proxy_, log_, {largest_heartbeat_, unsent_heartbeats_}, common::SteadyNow()),
-        "text/plain",
-        {}};
+    return {kHttpOk,
+            metrics_.Serialize(proxy_, log_, {largest_heartbeat_bytes_, unsent_heartbeats_},
+                               common::SteadyNow()),
+            "text/plain",
+            {}};
   }
-  return {kNotFoundStatus, "", "text/plain", {}};
+  return {kHttpNotFound, "", "text/plain", {}};
 }
 
-void ProxyHost::LogEnd() {
+void ProxyHost::LogExit() {
   std::size_t unanswered = 0;
   for (const auto& [number, caller] : callers_) {
     unanswered += caller.unanswered;
@@ -356,17 +359,17 @@
                 {"commands_unanswered", std::to_string(unanswered)}});
 }
 
-void ProxyHost::Drain() {
-  if (draining_ || ending_) {
+void ProxyHost::ExecuteActions() {
+  if (executing_actions_ || exit_requested_) {
     return;
   }
-  draining_ = true;
+  executing_actions_ = true;
   for (auto actions = proxy_.TakeActions(); !actions.empty(); actions = proxy_.TakeActions()) {
     for (const proxy::Action& action : actions) {
-      std::visit([this](const auto& each) { Do(each); }, action);
+      std::visit([this](const auto& each) { Execute(each); }, action);
     }
   }
-  draining_ = false;
+  executing_actions_ = false;
 }
 
 }  // namespace valvekeel::host
--- a/src/host/proxy_host.h
+++ b/src/host/proxy_host.h
@@ -1,7 +1,8 @@
-// Runs the proxy's decision code on an event loop: sockets, timers, signals, logs.
+// Runs the proxy's decision code on an event loop with real sockets, timers and logs.
 //
-// Owns: all sockets of the daemon. Invariant: it decides nothing: each event goes to the decision
-// code, each action is carried out. Thread: the event loop's.
+// Owns: all sockets of the daemon. Invariant: the host makes no decisions. It passes each event to
+// the decision code and executes each action that the decision code returns. Not thread-safe: runs
+// on the event loop's thread.
 #pragma once
 
 #include <array>
@@ -31,32 +32,31 @@
 
 namespace valvekeel::host {
 
-/// Why the host could not start.
+/// The reason for which the host could not start.
 struct StartError {
   std::string reason;
 };
 
-/// Where a daemon hands its copy of the catalog to others.
+/// Path at which a daemon serves its copy of the catalog to other daemons.
 inline constexpr const char* kCatalogPath = "/catalog";
 
-/// Where it hands out the configuration alone, for deployments of many daemons.
+/// Path at which it serves only the configuration, for large deployments.
 inline constexpr const char* kConfigurationPath = "/configuration";
 
-/// Status of an answer that holds what was asked for.
-inline constexpr int kReadyStatus = 200;
+inline constexpr int kHttpOk = 200;
 
 class ProxyHost {
  public:
   /// @param adapter outlives the host.
   ProxyHost(asio::io_context& loop, HostSettings settings, Adapter& adapter);
 
-  /// Binds all addresses and begins. @return the error if an address can't be bound.
+  /// Binds all addresses and starts serving. @return the error if an address cannot be bound.
   std::optional<StartError> Start();
 
-  /// Begins a planned stop; the loop is stopped when it is over.
+  /// Begins a planned stop; the event loop is stopped when it is complete.
   void Stop();
 
-  /// Writes a line to the log.
+  /// Writes a line at level "info" to the log and flushes the log.
   void Log(const char* event, const runtime::BoundedLog::Fields& fields);
 
  private:
@@ -65,10 +65,10 @@
     std::unique_ptr<CallerCodec> codec;
     bool started = false;
     bool accepted = false;
-    std::size_t unanswered = 0;  // commands
+    std::size_t unanswered = 0;  // commands without a reply
     proxy::SessionOrigin origin;
-    std::string unaccepted;  // all bytes until the session is accepted, for an owner
-    std::unique_ptr<relay_link::owner_link> link;  // to the owner that serves the session
+    std::string unaccepted;  // bytes received before the session is accepted, to send to an owner
+    std::unique_ptr<relay_link::owner_link> link;  // set while an owner serves the session
   };
   struct InstanceConnection {
     std::shared_ptr<net::Stream> stream;
@@ -80,60 +80,60 @@
 
   bool ListenForPeers();
   void AddCaller(asio::ip::tcp::socket socket);
-  /// Adds a caller unless there are too many. @return its number, 0 if it was turned away.
+  /// Adds a session unless there are too many. @return its number, 0 if it was rejected.
   proxy::SessionNumber AddSession(const std::shared_ptr<net::Stream>& stream,
                                   const proxy::SessionOrigin& origin);
-  /// Takes a session that another daemon hands over.
-  void AddHandedOver(asio::ip::tcp::socket socket);
-  bool TakeCallerMessage(proxy::SessionNumber number, const CallerMessage& message,
-                         common::Instant now);
-  void CallerBytes(proxy::SessionNumber number, std::string_view bytes);
-  void CallerGone(proxy::SessionNumber number);
-  void InstanceBytes(proxy::ConnectionNumber number, std::string_view bytes);
-  void InstanceGone(proxy::ConnectionNumber number);
-  void InstanceConnected(proxy::ConnectionNumber number, const proxy::OpenConnection& action);
+  /// Accepts a connection on which another daemon hands over a session.
+  void AddHandover(asio::ip::tcp::socket socket);
+  bool HandleCallerMessage(proxy::SessionNumber number, const CallerMessage& message,
+                           common::Instant now);
+  void OnCallerBytes(proxy::SessionNumber number, std::string_view bytes);
+  void OnCallerClosed(proxy::SessionNumber number);
+  void OnInstanceBytes(proxy::ConnectionNumber number, std::string_view bytes);
+  void OnInstanceClosed(proxy::ConnectionNumber number);
+  void OnInstanceConnected(proxy::ConnectionNumber number, const proxy::OpenConnection& action);
   void FailConnection(proxy::ConnectionNumber number, proxy::OpenFailure failure,
                       model::ErrorCode error);
-  bool TakeInstanceMessage(proxy::ConnectionNumber number, const InstanceMessage& message);
-  void ReceivePeer();
+  bool HandleInstanceMessage(proxy::ConnectionNumber number, const InstanceMessage& message);
+  void ReceivePeerMessage();
   void ScheduleTick();
   net::HttpResponse AnswerHttp(const net::HttpMessage& request);
 
-  /// A heartbeat could not be sent.
-  void NoteUnsent(std::size_t bytes, const std::string& reason);
-  static void NoteAnswered(Caller& caller);
-  /// Remembers a connection over which callers' requests come, until it is closed.
-  void Remember(const std::shared_ptr<net::Stream>& stream);
-  void ForgetClosedStreams();
-  /// Takes nothing from anybody from now on.
-  void StopTaking();
-  /// Ends the process once all that was sent to callers has left it, or the time for it is over.
-  void EndWhenSent(common::Instant limit);
-  /// Tells the log whom the end of the process cuts off.
-  void LogEnd();
-
-  /// Carries out what the decision code asks for.
-  void Drain();
-  void Do(const proxy::OpenConnection& action);
-  void Do(const proxy::SendRequests& action);
-  void Do(const proxy::CloseConnection& action);
-  void Do(const proxy::AcceptSession& action);
-  void Do(const proxy::AnswerCaller& action);
-  void Do(const proxy::CloseSession& action);
-  void Do(const proxy::RelaySession& action);
-  void Do(const proxy::CloseRelay& action);
-  void Do(const proxy::RequestSessionEnd& action);
-  void Do(const proxy::ReadCatalog& action);
-  void Do(const proxy::ReadLeadership& action);
-  void Do(const proxy::ReadConfiguration& action);
-  void Do(const proxy::WriteLeadership& action);
-  void Do(const proxy::WriteDaemonEntry& action);
-  void Do(const proxy::Promote& action);
-  void Do(const proxy::SendPeerMessage& action);
-  void Do(const proxy::FetchCatalog& action);
-  void Do(const proxy::SetReady& action);
-  void Do(const proxy::Exit& action);
-  void Do(const proxy::LogEvent& action);
+  /// Counts and logs a heartbeat that could not be sent.
+  void OnHeartbeatNotSent(std::size_t bytes, const std::string& reason);
+  static void OnCommandAnswered(Caller& caller);
+  /// Keeps a connection that carries callers' requests until it is closed.
+  void TrackStream(const std::shared_ptr<net::Stream>& stream);
+  void DropClosedStreams();
+  /// Stops accepting and reading from connections; what is already queued is still sent.
+  void StopAccepting();
+  /// Stops the event loop once all data queued for callers and the log is written, or at `limit`.
+  void ExitWhenFlushed(common::Instant limit);
+  /// Logs the numbers of callers and unanswered commands that the end of the process cuts off.
+  void LogExit();
+
+  /// Executes all actions that the decision code has queued.
+  void ExecuteActions();
+  void Execute(const proxy::OpenConnection& action);
+  void Execute(const proxy::SendRequests& action);
+  void Execute(const proxy::CloseConnection& action);
+  void Execute(const proxy::AcceptSession& action);
+  void Execute(const proxy::AnswerCaller& action);
+  void Execute(const proxy::CloseSession& action);
+  void Execute(const proxy::RelaySession& action);
+  void Execute(const proxy::CloseRelay& action);
+  void Execute(const proxy::RequestSessionEnd& action);
+  void Execute(const proxy::ReadCatalog& action);
+  void Execute(const proxy::ReadLeadership& action);
+  void Execute(const proxy::ReadConfiguration& action);
+  void Execute(const proxy::WriteLeadership& action);
+  void Execute(const proxy::WriteDaemonEntry& action);
+  void Execute(const proxy::Promote& action);
+  void Execute(const proxy::SendPeerMessage& action);
+  void Execute(const proxy::FetchCatalog& action);
+  void Execute(const proxy::SetReady& action);
+  void Execute(const proxy::Exit& action);
+  void Execute(const proxy::LogEvent& action);
 
   asio::io_context& loop_;
   HostSettings settings_;
@@ -142,23 +142,23 @@
   runtime::BoundedLog log_;
   Metrics metrics_;
   ConfigurationCopyCache configuration_copy_;
-  std::size_t largest_heartbeat_ = 0;  // bytes
+  std::size_t largest_heartbeat_bytes_ = 0;
   std::uint64_t unsent_heartbeats_ = 0;
   net::Listener callers_listener_;
   net::Listener handover_listener_;  // for sessions that other daemons hand over
   asio::ip::udp::socket peers_;
   asio::ip::udp::endpoint peer_sender_;
-  std::array<char, 65536> peer_input_{};
+  std::array<char, 65536> peer_buffer_{};
   std::vector<std::unique_ptr<net::HttpServer>> http_;
   asio::steady_timer tick_;
   std::map<proxy::SessionNumber, Caller> callers_;
   std::map<proxy::ConnectionNumber, InstanceConnection> instances_;
-  /// Callers' connections and those that sessions are handed over on, some closed meanwhile.
+  /// Connections of callers and of daemons that hand over sessions; some may be closed.
   std::vector<std::shared_ptr<net::Stream>> streams_;
   proxy::SessionNumber next_session_ = 1;
   bool ready_ = false;
-  bool draining_ = false;
-  bool ending_ = false;  // the decision code has asked for the end
+  bool executing_actions_ = false;
+  bool exit_requested_ = false;  // the decision code has requested the end of the process
 };
 
 }  // namespace valvekeel::host
--- a/src/host/proxy_host_actions.cc
+++ b/src/host/proxy_host_actions.cc
@@ -1,4 +1,4 @@
-// Carries out what the decision code asks for.
+// Executes the actions that the decision code returns.
 
 #include <algorithm>
 #include <bit>
@@ -13,17 +13,18 @@
 namespace {
 
 constexpr unsigned kInstanceUserTimeoutMs = 4000;
-constexpr common::Duration kFetchTimeout{500'000};
-/// The same of a configuration from a hub, which hands it to 64 daemons at a time: 80 KB to each of
-/// them are 2 s of a link of 20 Mbit/s, by arithmetic. Who is turned away asks again.
-constexpr common::Duration kConfigurationTimeout{4'000'000};
-/// Longest time for answers to leave the process after the decision to end: two thirds of what the
-/// decision code leaves until the process is killed (900 ms).
-constexpr common::Duration kSendBeforeExit{600'000};
-/// How often it is looked whether they have.
-constexpr common::Duration kSentInterval{5'000};
-
-std::optional<proxy::CatalogCopy> TakeCopy(bool configuration_only, const std::string& body) {
+constexpr common::Duration kCatalogFetchTimeout{500'000};
+/// Timeout for fetching a configuration from a hub. A hub sends it to up to 64 daemons at a time:
+/// 80 KB to each of them take 2 s on a link of 20 Mbit/s. A rejected daemon retries.
+constexpr common::Duration kConfigurationFetchTimeout{4'000'000};
+/// Maximum time for sending queued answers after the decision to end: two thirds of the 900 ms that
+/// the decision code leaves until the process is killed.
+constexpr common::Duration kFlushTimeout{600'000};
+/// Interval at which the host checks whether the queued answers have been sent.
+constexpr common::Duration kFlushCheckInterval{5'000};
+
+std::optional<proxy::CatalogCopy> DecodeFetchedCopy(bool configuration_only,
+                                                    const std::string& body) {
   if (!configuration_only) {
     return DecodeCatalogCopy(body);
   }
@@ -37,13 +38,13 @@
 
 }  // namespace
 
-void ProxyHost::NoteAnswered(Caller& caller) {
+void ProxyHost::OnCommandAnswered(Caller& caller) {
   if (caller.unanswered > 0) {
     --caller.unanswered;
   }
 }
 
-/// Brings what an owner sends to the session's caller and to the decision code.
+/// Forwards an owner's data to the session's caller and its events to the decision code.
 class ProxyHost::OwnerEvents : public relay_link::owner_events {
  public:
   OwnerEvents(ProxyHost& host, proxy::SessionNumber session) : host_(host), session_(session) {}
@@ -55,7 +56,7 @@
       found->second.unaccepted.clear();
     }
     host_.proxy_.RelayAccepted(session_, common::SteadyNow());
-    host_.Drain();
+    host_.ExecuteActions();
   }
 
   void on_rejected() override { host_.proxy_.RelayDeclined(session_, common::SteadyNow()); }
@@ -63,15 +64,15 @@
   void on_answer(const model::Reply& reply) override {
     const auto found = host_.callers_.find(session_);
     if (found != host_.callers_.end()) {
-      NoteAnswered(found->second);
+      OnCommandAnswered(found->second);
     }
     host_.proxy_.RelayAnswered(session_, reply.state, common::SteadyNow());
-    host_.Drain();
+    host_.ExecuteActions();
   }
 
   void on_end_request() override {
     host_.proxy_.RelayEndRequested(session_);
-    host_.Drain();
+    host_.ExecuteActions();
   }
 
   void on_bytes(std::string_view bytes) override {
@@ -87,7 +88,7 @@
 
   void on_ended(const std::string& reason, bool was_open) override {
     host_.proxy_.RelayEnded(session_, {reason, was_open}, common::SteadyNow());
-    host_.Drain();
+    host_.ExecuteActions();
   }
 
  private:
@@ -95,7 +96,7 @@
   proxy::SessionNumber session_;
 };
 
-void ProxyHost::Do(const proxy::OpenConnection& action) {
+void ProxyHost::Execute(const proxy::OpenConnection& action) {
   const proxy::ConnectionNumber number = action.connection;
   InstanceConnection& connection = instances_[number];
   connection.stream = std::make_shared<net::Stream>(loop_);
@@ -103,7 +104,7 @@
   connection.codec = adapter_.NewInstanceCodec();
   connection.stream->Connect(
       action.address, settings_.connect_timeout,
-      [this, number, action] { InstanceConnected(number, action); },
+      [this, number, action] { OnInstanceConnected(number, action); },
       [this, number](net::ConnectFault fault) {
         FailConnection(number,
                        fault == net::ConnectFault::kRefused ? proxy::OpenFailure::kRefused
@@ -112,7 +113,7 @@
       });
 }
 
-void ProxyHost::Do(const proxy::SendRequests& action) {
+void ProxyHost::Execute(const proxy::SendRequests& action) {
   const auto found = instances_.find(action.connection);
   if (found == instances_.end()) {
     return;
@@ -124,7 +125,7 @@
   found->second.stream->Send(std::move(bytes));
 }
 
-void ProxyHost::Do(const proxy::CloseConnection& action) {
+void ProxyHost::Execute(const proxy::CloseConnection& action) {
   const auto found = instances_.find(action.connection);
   if (found == instances_.end()) {
     return;
@@ -134,7 +135,7 @@
   stream->Close();
 }
 
-void ProxyHost::Do(const proxy::AcceptSession& action) {
+void ProxyHost::Execute(const proxy::AcceptSession& action) {
   const auto found = callers_.find(action.session);
   if (found != callers_.end()) {
     found->second.accepted = true;
@@ -143,31 +144,31 @@
   }
 }
 
-void ProxyHost::Do(const proxy::AnswerCaller& action) {
+void ProxyHost::Execute(const proxy::AnswerCaller& action) {
   if (action.times) {
     metrics_.Observe(*action.times);
   }
   const auto found = callers_.find(action.session);
   if (found != callers_.end()) {
     found->second.stream->Send(found->second.codec->EncodeReply(action.reply));
-    NoteAnswered(found->second);
+    OnCommandAnswered(found->second);
   }
 }
 
-void ProxyHost::Do(const proxy::CloseSession& action) {
+void ProxyHost::Execute(const proxy::CloseSession& action) {
   const auto found = callers_.find(action.session);
   if (found == callers_.end()) {
     return;
   }
   const auto stream = found->second.stream;
   if (action.with_error) {
-    stream->Send(found->second.codec->EncodeFault(action.error, action.error_text));
+    stream->Send(found->second.codec->EncodeError(action.error, action.error_text));
   }
   callers_.erase(found);
   stream->CloseAfterFlush();
 }
 
-void ProxyHost::Do(const proxy::RelaySession& action) {
+void ProxyHost::Execute(const proxy::RelaySession& action) {
   const auto found = callers_.find(action.session);
   if (found == callers_.end()) {
     return;
@@ -179,29 +180,29 @@
                     relay::encode({action.required_configuration, true}) + caller.unaccepted);
 }
 
-void ProxyHost::Do(const proxy::CloseRelay& action) {
+void ProxyHost::Execute(const proxy::CloseRelay& action) {
   const auto found = callers_.find(action.session);
   if (found != callers_.end()) {
     found->second.link.reset();
   }
 }
 
-void ProxyHost::Do(const proxy::RequestSessionEnd& action) {
+void ProxyHost::Execute(const proxy::RequestSessionEnd& action) {
   const auto found = callers_.find(action.session);
   if (found != callers_.end()) {
     found->second.stream->Send(std::string(1, relay::END_REQUEST));
   }
 }
 
-void ProxyHost::Do(const proxy::ReadCatalog& action) {
+void ProxyHost::Execute(const proxy::ReadCatalog& action) {
   const proxy::CallNumber call = action.call;
   adapter_.Store().Read(action.read, [this, call](const metadata::ReadResult& result) {
     proxy_.CatalogRead(call, result, common::SteadyNow());
-    Drain();
+    ExecuteActions();
   });
 }
 
-void ProxyHost::Do(const proxy::ReadLeadership& action) {
+void ProxyHost::Execute(const proxy::ReadLeadership& action) {
   const proxy::CallNumber call = action.call;
   adapter_.Store().ReadLeadership(action.era, [this, call](const auto& read) {
     const common::Instant now = common::SteadyNow();
@@ -210,11 +211,11 @@
     } else {
       proxy_.LeadershipRead(call, std::nullopt, {}, now);
     }
-    Drain();
+    ExecuteActions();
   });
 }
 
-void ProxyHost::Do(const proxy::ReadConfiguration& action) {
+void ProxyHost::Execute(const proxy::ReadConfiguration& action) {
   const proxy::CallNumber call = action.call;
   adapter_.Store().ReadConfiguration([this, call](const auto& read) {
     const common::Instant now = common::SteadyNow();
@@ -223,52 +224,52 @@
     } else {
       proxy_.ConfigurationRead(call, std::nullopt, {}, now);
     }
-    Drain();
+    ExecuteActions();
   });
 }
 
-void ProxyHost::Do(const proxy::WriteLeadership& action) {
+void ProxyHost::Execute(const proxy::WriteLeadership& action) {
   const proxy::CallNumber call = action.call;
   adapter_.Store().WriteLeadership(action.write, [this, call](const failover::WriteResult& result) {
     proxy_.LeadershipWritten(call, result, common::SteadyNow());
-    Drain();
+    ExecuteActions();
   });
 }
 
-void ProxyHost::Do(const proxy::WriteDaemonEntry& action) {
+void ProxyHost::Execute(const proxy::WriteDaemonEntry& action) {
   const proxy::CallNumber call = action.call;
   adapter_.Store().WriteDaemon(action.entry, [this, call](bool written) {
     proxy_.DaemonWritten(call, written, common::SteadyNow());
-    Drain();
+    ExecuteActions();
   });
 }
 
-void ProxyHost::Do(const proxy::Promote& action) {
+void ProxyHost::Execute(const proxy::Promote& action) {
   const proxy::CallNumber call = action.call;
   adapter_.Promotions().Promote(action, [this, call](failover::PromotionStatus status) {
     proxy_.Promoted(call, status, common::SteadyNow());
-    Drain();
+    ExecuteActions();
   });
 }
 
-void ProxyHost::Do(const proxy::SendPeerMessage& action) {
+void ProxyHost::Execute(const proxy::SendPeerMessage& action) {
   asio::error_code error;
   const auto host = asio::ip::make_address(action.address.host, error);
   if (!error) {
     const std::string bytes = proxy::EncodePeerMessage(action.message);
-    largest_heartbeat_ = std::max(largest_heartbeat_, bytes.size());
-    // A heartbeat that the system does not take is lost like any other datagram.
+    largest_heartbeat_bytes_ = std::max(largest_heartbeat_bytes_, bytes.size());
+    // A heartbeat that the system rejects is lost like any other datagram.
     peers_.send_to(asio::buffer(bytes), asio::ip::udp::endpoint(host, action.address.port), 0,
                    error);
     if (error) {
-      NoteUnsent(bytes.size(), error.message());
+      OnHeartbeatNotSent(bytes.size(), error.message());
     }
   }
 }
 
-void ProxyHost::NoteUnsent(std::size_t bytes, const std::string& reason) {
+void ProxyHost::OnHeartbeatNotSent(std::size_t bytes, const std::string& reason) {
   ++unsent_heartbeats_;
-  // At counts that double: a way that is closed would fill the log.
+  // Logs only at powers of two: an unreachable network would fill the log.
   if (std::has_single_bit(unsent_heartbeats_)) {
     Log("heartbeat_not_sent", {{"count", std::to_string(unsent_heartbeats_)},
                                {"bytes", std::to_string(bytes)},
@@ -276,41 +277,43 @@
   }
 }
 
-void ProxyHost::Do(const proxy::FetchCatalog& action) {
+void ProxyHost::Execute(const proxy::FetchCatalog& action) {
   const proxy::CallNumber call = action.call;
   auto client = std::make_shared<net::HttpClient>(loop_, action.address);
   net::HttpRequest request;
   const bool configuration_only = action.configuration_only;
   request.target = configuration_only ? kConfigurationPath : kCatalogPath;
-  // One call a connection: kept open, those of 100 daemons took all that a hub serves at once, and
-  // most daemons of a zone got a change of the configuration from the store 5 to 8 s later.
+  // One request per connection. If they stay open, the connections of 100 daemons use up all that a
+  // hub serves at once, and most daemons of a zone get a changed configuration 5 to 8 s later, from
+  // the store.
   request.headers = {net::kCloseAfterAnswer};
-  const common::Duration timeout = configuration_only ? kConfigurationTimeout : kFetchTimeout;
+  const common::Duration timeout =
+      configuration_only ? kConfigurationFetchTimeout : kCatalogFetchTimeout;
   client->Call(request, timeout, [=, this](const net::HttpResult& result) {
     std::optional<proxy::CatalogCopy> copy;
-    if (common::IsOk(result) && common::ValueOf(result).status == kReadyStatus) {
-      copy = TakeCopy(configuration_only, common::ValueOf(result).body);
+    if (common::IsOk(result) && common::ValueOf(result).status == kHttpOk) {
+      copy = DecodeFetchedCopy(configuration_only, common::ValueOf(result).body);
     }
     static_cast<void>(client);
     proxy_.CatalogFetched(call, copy, common::SteadyNow());
-    Drain();
+    ExecuteActions();
   });
 }
 
-void ProxyHost::Do(const proxy::SetReady& action) { ready_ = action.ready; }
+void ProxyHost::Execute(const proxy::SetReady& action) { ready_ = action.ready; }
 
-void ProxyHost::Do(const proxy::Exit& action) {
+void ProxyHost::Execute(const proxy::Exit& action) {
   static_cast<void>(action);
-  if (std::exchange(ending_, true)) {
+  if (std::exchange(exit_requested_, true)) {
     return;
   }
-  StopTaking();
-  EndWhenSent(common::SteadyNow() + kSendBeforeExit);
+  StopAccepting();
+  ExitWhenFlushed(common::SteadyNow() + kFlushTimeout);
 }
 
-void ProxyHost::StopTaking() {
-  // In the turn of the decision: with 150 ms between, callers were taken and served whom the end of
-  // the process then cut off.
+void ProxyHost::StopAccepting() {
+  // Runs in the same loop iteration as the decision to end. With a delay of 150 ms, callers are
+  // accepted and served that the end of the process then cuts off.
   callers_listener_.Close();
   handover_listener_.Close();
   tick_.cancel();
@@ -322,24 +325,24 @@
   }
 }
 
-void ProxyHost::EndWhenSent(common::Instant limit) {
+void ProxyHost::ExitWhenFlushed(common::Instant limit) {
   const bool sent = std::none_of(streams_.begin(), streams_.end(),
                                  [](const auto& stream) { return stream->Open(); });
   const bool logged = log_.Flush();
   if ((sent && logged) || common::SteadyNow() >= limit) {
-    LogEnd();
+    LogExit();
     loop_.stop();
     return;
   }
-  tick_.expires_after(kSentInterval);
+  tick_.expires_after(kFlushCheckInterval);
   tick_.async_wait([this, limit](const asio::error_code& cancelled) {
     if (!cancelled) {
-      EndWhenSent(limit);
+      ExitWhenFlushed(limit);
     }
   });
 }
 
-void ProxyHost::Do(const proxy::LogEvent& action) {
+void ProxyHost::Execute(const proxy::LogEvent& action) {
   log_.Write(LevelName(action.level), action.event, action.fields, common::SteadyNow());
 }
 
--- a/src/relay_link/owner_link.cc
+++ b/src/relay_link/owner_link.cc
@@ -29,7 +29,7 @@
          at = bytes.find(relay::END_REQUEST, at + 1)) {
       this->process_messages(bytes.substr(from, at - from));
       from = at;
-      if (!this->closed && this->codec->BetweenMessages()) {
+      if (!this->closed && this->codec->AtMessageBoundary()) {
         this->events->on_end_request();
         ++from;
       }
@@ -53,14 +53,14 @@
         this->events->on_rejected();
       } else if (const auto* reply = std::get_if<model::Reply>(&message)) {
         this->events->on_answer(*reply);
-      } else if (std::holds_alternative<host::InstanceFault>(message)) {
+      } else if (std::holds_alternative<host::InstanceProtocolError>(message)) {
         this->events->on_read(false);
         this->end("the owner sent invalid data");
         return;
       }
     }
     if (!this->closed) {
-      this->events->on_read(this->codec->BetweenMessages());
+      this->events->on_read(this->codec->AtMessageBoundary());
     }
   }
 
--- a/tests/host/configuration_copy_test.cc
+++ b/tests/host/configuration_copy_test.cc
@@ -5,7 +5,7 @@
 namespace valvekeel::host {
 namespace {
 
-model::Configuration Large(std::size_t services, std::size_t routes_of_each) {
+model::Configuration MakeConfiguration(std::size_t services, std::size_t routes_of_each) {
   model::Configuration configuration;
   configuration.version = 7;
   configuration.transaction_idle = std::chrono::seconds(3);
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-TEST_CASE("A configuration is handed on whole", "[host]") {
-  model::Configuration configuration = Large(3, 3);
+TEST_CASE("A decoded configuration equals the encoded one", "[host]") {
+  model::Configuration configuration = MakeConfiguration(3, 3);
   configuration.routes.begin()->second.allowed_regions = {"north"};
   configuration.routes.begin()->second.is_public = true;
   configuration.services.begin()->second.warm_up = {std::chrono::seconds(6), 8.5};
@@ -54,40 +54,40 @@
   const model::Route& first = read->routes.at("database0x0");
   CHECK(first.allowed_regions == std::vector<std::string>{"north"});
   CHECK(first.is_public);
-  const model::Route& own = read->routes.at("database2x2");
-  CHECK(own.database == "database2x2");
-  CHECK(own.service == "service2");
-  CHECK(own.consistency == model::Consistency::kReadYourWrites);
-  CHECK(own.timeout == std::chrono::milliseconds(800));
-  CHECK(own.max_staleness == std::chrono::milliseconds(1'500));
-  CHECK_FALSE(own.is_public);
+  const model::Route& last = read->routes.at("database2x2");
+  CHECK(last.database == "database2x2");
+  CHECK(last.service == "service2");
+  CHECK(last.consistency == model::Consistency::kReadYourWrites);
+  CHECK(last.timeout == std::chrono::milliseconds(800));
+  CHECK(last.max_staleness == std::chrono::milliseconds(1'500));
+  CHECK_FALSE(last.is_public);
   CHECK(read->tenants.at("t").keys == tenant.keys);
   CHECK(read->tenants.at("t").rate == 3.5);
 }
 
 TEST_CASE("A configuration of 1,000 services fits into 100 KB", "[host]") {
-  // A hub hands it to 200 daemons within the 8 s in which it must be in force, also over a link of
+  // A hub sends it to 200 daemons within the 8 s in which it must be in force, also over a link of
   // 20 Mbit/s, which carries 20 MB in that time.
-  constexpr std::size_t kMostBytes = 100'000;
-  CHECK(EncodeConfigurationCopy(Large(1'000, 3)).size() < kMostBytes);
+  constexpr std::size_t kMaxBytes = 100'000;
+  CHECK(EncodeConfigurationCopy(MakeConfiguration(1'000, 3)).size() < kMaxBytes);
 }
 
-TEST_CASE("Bytes that are no configuration are none", "[host]") {
+TEST_CASE("Invalid bytes are not decoded to a configuration", "[host]") {
   CHECK_FALSE(DecodeConfigurationCopy(""));
   CHECK_FALSE(DecodeConfigurationCopy("x"));
-  const std::string bytes = EncodeConfigurationCopy(Large(2, 2));
+  const std::string bytes = EncodeConfigurationCopy(MakeConfiguration(2, 2));
   CHECK_FALSE(DecodeConfigurationCopy(bytes.substr(0, bytes.size() / 2)));
 }
 
 TEST_CASE("A configuration is encoded once for each version", "[host]") {
   ConfigurationCopyCache cache;
-  model::Configuration configuration = Large(1, 1);
-  const std::string* first = &cache.Of(configuration);
+  model::Configuration configuration = MakeConfiguration(1, 1);
+  const std::string* first = &cache.Encode(configuration);
   const std::string before = *first;
   configuration.services["service0"].max_connections = 9;
-  CHECK(cache.Of(configuration) == before);
+  CHECK(cache.Encode(configuration) == before);
   ++configuration.version;
-  CHECK(cache.Of(configuration) != before);
+  CHECK(cache.Encode(configuration) != before);
 }
 
 }  // namespace valvekeel::host
--- a/tests/host/host_settings_test.cc
+++ b/tests/host/host_settings_test.cc
@@ -9,7 +9,7 @@
 namespace valvekeel::host {
 namespace {
 
-/// A file that is removed at the end of the test.
+/// A file that the destructor removes.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text) { std::ofstream(path) << text; }
@@ -36,18 +36,18 @@
 
 }  // namespace
 
-TEST_CASE("Settings of the platform's template are taken", "[host]") {
+TEST_CASE("Settings as in the platform's template are loaded", "[host]") {
   const TemporaryFile file(kValid);
   const auto loaded = LoadHostSettings(file.path, {"daemon.stop_grace_ms=5000"});
   REQUIRE(common::IsOk(loaded));
   const HostSettings& settings = common::ValueOf(loaded);
   CHECK(settings.proxy.stop_grace == std::chrono::seconds(5));
-  // A seed on this very machine is no other daemon.
+  // A seed with this daemon's own address is not another daemon.
   REQUIRE(settings.proxy.seed_peers.size() == 1);
   CHECK(settings.proxy.seed_peers[0] == common::Endpoint{"10.2.0.6", 7440});
 }
 
-TEST_CASE("Early refusal is on unless it is switched off", "[host]") {
+TEST_CASE("Early refusal is off unless it is switched on", "[host]") {
   const TemporaryFile file(kValid);
   const auto usual = LoadHostSettings(file.path, {});
   REQUIRE(common::IsOk(usual));
@@ -57,7 +57,7 @@
   CHECK(common::ValueOf(loaded).proxy.early_refusal);
 }
 
-TEST_CASE("Every fault of the settings is told at once", "[host]") {
+TEST_CASE("All errors in the settings are reported at once", "[host]") {
   const TemporaryFile file(
       "[daemon]\nname = \"d1\"\nzone = 3\nzoone = \"x\"\n[listen]\n"
       "callers = \"nowhere\"\nhealth = \"1.2.3.4:99999\"\n");
@@ -74,7 +74,7 @@
   }
 }
 
-TEST_CASE("A catalog handed to another daemon comes back the same", "[host]") {
+TEST_CASE("A decoded catalog copy equals the encoded one", "[host]") {
   proxy::CatalogCopy copy;
   copy.configuration.version = 9;
   model::Route route;
@@ -97,7 +97,7 @@
   CHECK_FALSE(DecodeCatalogCopy("nothing"));
 }
 
-TEST_CASE("Regions of zones, evacuation and warm-up are settings", "[host][access]") {
+TEST_CASE("Regions of zones, evacuation and warm-up settings are loaded", "[host][access]") {
   const TemporaryFile file(kValid);
   const auto loaded = LoadHostSettings(
       file.path, {"daemon.zone_regions=[\"z1=north\", \"z2=south\"]", "evacuation.limit_ms=5000",
@@ -111,7 +111,7 @@
   CHECK(settings.warm_up.slack == 5);
 }
 
-TEST_CASE("A region that can't be read, or is missing for this zone, is told", "[host][access]") {
+TEST_CASE("An invalid region, or a missing one for this zone, is reported", "[host][access]") {
   const TemporaryFile file(kValid);
   const auto loaded = LoadHostSettings(file.path, {"daemon.zone_regions=[\"z2=south\", \"z3\"]"});
   REQUIRE_FALSE(common::IsOk(loaded));
--- a/tests/host/planned_end_test.cc
+++ b/tests/host/planned_end_test.cc
@@ -1,4 +1,4 @@
-// The planned end of a process: what its callers see of it, over real sockets.
+// Tests what callers observe of the planned end of a process, over real sockets.
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -16,26 +16,26 @@
 namespace {
 
 constexpr const char* kAddress = "127.0.7.1";
-constexpr std::chrono::seconds kLimit{20};
-constexpr std::chrono::milliseconds kTurn{1};
-/// Two of them are more than the system takes for a caller that does not read (4 MiB); one is less
-/// than may wait for it in the process.
+constexpr std::chrono::seconds kTestTimeout{20};
+constexpr std::chrono::milliseconds kPollInterval{1};
+/// Two answers exceed what the system buffers for a caller that does not read (4 MiB); one answer
+/// is less than the process may buffer for it.
 constexpr std::size_t kAnswerBytes = std::size_t{3} << 20U;
-constexpr std::size_t kSlowRead = std::size_t{256} << 10U;
+constexpr std::size_t kReadBufferBytes = std::size_t{256} << 10U;
 
-/// What the host asked the callers' codecs for.
-struct Seen {
-  std::string read;  // all bytes of callers
+/// Records the calls of the host to the callers' codecs.
+struct CodecCalls {
+  std::string read;  // all bytes received from callers
   int answers = 0;
 };
 
-/// One line a message: "start" begins a session, all else sets a value.
+/// One message per line: "start" begins a session, any other line is a command that sets a value.
 class LineCodec : public CallerCodec {
  public:
-  explicit LineCodec(Seen& seen) : seen_(seen) {}
+  explicit LineCodec(CodecCalls& codec_calls) : codec_calls_(codec_calls) {}
 
   std::vector<CallerMessage> Decode(std::string_view bytes) override {
-    seen_.read += bytes;
+    codec_calls_.read += bytes;
     std::vector<CallerMessage> messages;
     for (const char byte : bytes) {
       if (byte != '\n') {
@@ -50,19 +50,19 @@
   }
   std::string EncodeAccept() override { return "accepted\n"; }
   std::string EncodeReply(const model::Reply&) override {
-    ++seen_.answers;
+    ++codec_calls_.answers;
     return std::string(kAnswerBytes, 'x') + "\n";
   }
-  std::string EncodeFault(model::ErrorCode error, const std::string&) override {
+  std::string EncodeError(model::ErrorCode error, const std::string&) override {
     return std::string(model::ErrorCodeName(error)) + "\n";
   }
 
  private:
-  Seen& seen_;
+  CodecCalls& codec_calls_;
   std::string line_;
 };
 
-/// A store that holds one route, and nothing else.
+/// A store that contains only one service and one route.
 class OneRouteStore : public MetadataStore {
  public:
   OneRouteStore() {
@@ -75,7 +75,7 @@
 
   void Read(const metadata::ReadCall& call, ReadHandler handler) override {
     if (call.after_revision) {
-      return;  // nothing changes
+      return;  // a watch never answers: nothing changes
     }
     metadata::ReadResult result{metadata::ReadStatus::kOk, 1, {}};
     if (call.collection == model::Collection::kConfiguration) {
@@ -86,63 +86,63 @@
   void ReadLeadership(std::uint64_t, LeadershipHandler) override {}
   void ReadConfiguration(ConfigurationHandler) override {}
   void WriteLeadership(const failover::ConditionalWrite&, WriteHandler) override {}
-  void WriteDaemon(const model::DaemonEntry&, RegisterHandler) override {}
+  void WriteDaemon(const model::DaemonEntry&, DaemonWriteHandler) override {}
 
  private:
   model::Configuration configuration_;
 };
 
-/// The service has no instance: nothing is asked of it.
+/// The service has no instances, so the host opens no connections to instances.
 class LineAdapter : public Adapter, public PromotionService {
  public:
   std::unique_ptr<CallerCodec> NewCallerCodec() override {
-    return std::make_unique<LineCodec>(seen);
+    return std::make_unique<LineCodec>(codec_calls);
   }
   std::unique_ptr<InstanceCodec> NewInstanceCodec() override { return nullptr; }
   MetadataStore& Store() override { return store_; }
   PromotionService& Promotions() override { return *this; }
   void Promote(const proxy::Promote&, Handler) override {}
 
-  Seen seen;
+  CodecCalls codec_calls;
 
  private:
   OneRouteStore store_;
 };
 
-/// A caller that reads only when it is told to.
+/// A caller that reads only when Read() is called.
 class SlowCaller {
  public:
-  /// @return false if nobody takes the connection.
+  /// @return false if the connection is refused.
   bool Connect(std::uint16_t port) {
     asio::error_code error;
     socket_.connect({asio::ip::make_address(kAddress), port}, error);
     socket_.non_blocking(true);
     return !error;
   }
-  void Say(const std::string& text) {
-    asio::error_code ignored;  // the other side may have closed
+  void Send(const std::string& text) {
+    asio::error_code ignored;  // the peer may have closed the connection
     socket_.write_some(asio::buffer(text), ignored);
   }
-  /// Takes some of what has come.
+  /// Reads some of the bytes that have arrived.
   void Read() {
     asio::error_code error;
     const std::size_t count = socket_.read_some(asio::buffer(input_), error);
-    heard.append(input_.data(), count);
+    received.append(input_.data(), count);
     ended = error && error != asio::error::would_block;
   }
 
-  std::string heard;
+  std::string received;
   bool ended = false;
 
  private:
   asio::io_context loop_;
   asio::ip::tcp::socket socket_{loop_};
-  std::array<char, kSlowRead> input_{};
+  std::array<char, kReadBufferBytes> input_{};
 };
 
-/// A daemon whose time to stop is so short that it decides to end at the next tick.
-struct EndingDaemon {
-  EndingDaemon() {
+/// A daemon whose stop grace is so short that it decides to end at the next tick.
+struct StoppingDaemon {
+  StoppingDaemon() {
     REQUIRE(::pipe2(log_pipe.data(), O_NONBLOCK) == 0);
     settings.proxy.name = "self";
     settings.proxy.stop_grace = std::chrono::milliseconds(900);
@@ -154,14 +154,14 @@
     host.emplace(*loop, settings, adapter);
     REQUIRE_FALSE(host->Start());
   }
-  ~EndingDaemon() {
-    EndProcess();
+  ~StoppingDaemon() {
+    CloseAll();
     ::close(log_pipe[0]);
     ::close(log_pipe[1]);
   }
 
-  /// Closes whatever is open, as the end of the process does.
-  void EndProcess() {
+  /// Closes all sockets, as the end of the process does.
+  void CloseAll() {
     host.reset();
     loop.reset();
   }
@@ -171,7 +171,7 @@
     return {kAddress, unused.local_endpoint().port()};
   }
 
-  bool Logged(const std::string& text) {
+  bool HasLogged(const std::string& text) {
     std::array<char, 4096> input{};
     for (ssize_t count = 1; count > 0;) {
       count = ::read(log_pipe[0], input.data(), input.size());
@@ -180,24 +180,24 @@
     return log.find(text) != std::string::npos;
   }
 
-  /// Runs the daemon until the condition is met. @return false if it never was.
+  /// Runs the daemon until the condition is met. @return false if that takes too long.
   template <typename Condition>
   bool RunUntil(Condition met) {
-    const auto deadline = std::chrono::steady_clock::now() + kLimit;
+    const auto deadline = std::chrono::steady_clock::now() + kTestTimeout;
     while (!met()) {
       if (std::chrono::steady_clock::now() >= deadline) {
         return false;
       }
-      loop->run_one_for(kTurn);
+      loop->run_one_for(kPollInterval);
     }
     return true;
   }
 
-  /// The same for a text that a caller is to hear.
-  bool Hears(SlowCaller& caller, const std::string& text) {
+  /// Runs the daemon until a caller has received a text. @return false if that takes too long.
+  bool Receives(SlowCaller& caller, const std::string& text) {
     return RunUntil([&] {
       caller.Read();
-      return caller.heard.find(text) != std::string::npos;
+      return caller.received.find(text) != std::string::npos;
     });
   }
 
@@ -211,44 +211,44 @@
 
 }  // namespace
 
-TEST_CASE("A process that has decided to end takes nothing more and delivers what it answered",
+TEST_CASE("A process that has decided to end accepts nothing more and delivers its answers",
           "[host]") {
-  // Callers whose request began 3.02 to 3.15 s after the stop signal were accepted, read, some
-  // served by an instance, and then cut off without an answer. The log had `stopped` with
-  // sessions_left 0 at 3.0 s, and the process ended at 3.155 to 3.18 s: it went on taking callers
-  // for the 150 ms in which answers and log lines were to leave it. That has to be waited for all
-  // the same.
-  EndingDaemon daemon;
-  SlowCaller silent;  // connects before the decision, speaks after it
-  REQUIRE(silent.Connect(daemon.settings.callers.port));
-  SlowCaller answered;
-  REQUIRE(answered.Connect(daemon.settings.callers.port));
-  answered.Say("start\n");
-  REQUIRE(daemon.Hears(answered, "accepted\n"));
-  answered.Say("set\nset\n");
-  REQUIRE(daemon.RunUntil([&] { return daemon.adapter.seen.answers == 2; }));
+  // Guards against callers that are cut off without an answer. If a process goes on accepting
+  // callers in the 150 ms between its decision to end (3.0 s after the stop signal, log event
+  // `stopped` with sessions_left 0) and its exit (3.155 to 3.18 s), requests that begin 3.02 to
+  // 3.15 s after the signal are accepted, read, some are served by an instance, and none is
+  // answered. The process must still wait until queued answers and log lines are written.
+  StoppingDaemon daemon;
+  SlowCaller idle;  // connects before the decision, sends after it
+  REQUIRE(idle.Connect(daemon.settings.callers.port));
+  SlowCaller served;
+  REQUIRE(served.Connect(daemon.settings.callers.port));
+  served.Send("start\n");
+  REQUIRE(daemon.Receives(served, "accepted\n"));
+  served.Send("set\nset\n");
+  REQUIRE(daemon.RunUntil([&] { return daemon.adapter.codec_calls.answers == 2; }));
   daemon.host->Stop();
-  REQUIRE(daemon.RunUntil([&] { return daemon.Logged("\"stopped\""); }));
+  REQUIRE(daemon.RunUntil([&] { return daemon.HasLogged("\"stopped\""); }));
 
-  daemon.adapter.seen.read.clear();
-  silent.Say("start\n");
+  daemon.adapter.codec_calls.read.clear();
+  idle.Send("start\n");
   SlowCaller late;
-  const bool taken = late.Connect(daemon.settings.callers.port);
-  late.Say("start\n");
+  const bool connected = late.Connect(daemon.settings.callers.port);
+  late.Send("start\n");
   const bool ended = daemon.RunUntil([&] {
-    answered.Read();
+    served.Read();
     return daemon.loop->stopped();
   });
   REQUIRE(ended);
 
-  CHECK_FALSE(taken);
-  CHECK(daemon.adapter.seen.read.empty());
-  CHECK(daemon.Logged("\"event\":\"ended\""));
-  daemon.EndProcess();
-  while (!answered.ended) {
-    answered.Read();
+  CHECK_FALSE(connected);
+  CHECK(daemon.adapter.codec_calls.read.empty());
+  CHECK(daemon.HasLogged("\"event\":\"ended\""));
+  daemon.CloseAll();
+  while (!served.ended) {
+    served.Read();
   }
-  CHECK(answered.heard.size() == std::string("accepted\n").size() + 2 * (kAnswerBytes + 1));
+  CHECK(served.received.size() == std::string("accepted\n").size() + 2 * (kAnswerBytes + 1));
 }
 
 }  // namespace valvekeel::host
--- a/tests/platform/line_protocol_test.cc
+++ b/tests/platform/line_protocol_test.cc
@@ -6,10 +6,10 @@
 namespace {
 
 using host::CallerEnd;
-using host::CallerFault;
+using host::CallerProtocolError;
 using host::CallerStart;
 using host::InstanceAccepted;
-using host::InstanceFault;
+using host::InstanceProtocolError;
 using host::InstanceRejected;
 using model::CommandKind;
 using model::ErrorCode;
@@ -67,20 +67,20 @@
     LineCallerCodec codec;
     const auto messages = codec.Decode(bytes);
     REQUIRE(messages.size() == 1);
-    CHECK(std::get<CallerFault>(messages[0]).error == ErrorCode::kMalformed);
+    CHECK(std::get<CallerProtocolError>(messages[0]).error == ErrorCode::kMalformed);
     CHECK(codec.Decode("START db who\r\n").empty());
   }
   LineCallerCodec own_id = Started();
-  CHECK(std::holds_alternative<CallerFault>(own_id.Decode("QUERY - READ x\r\n").front()));
+  CHECK(std::holds_alternative<CallerProtocolError>(own_id.Decode("QUERY - READ x\r\n").front()));
   LineCallerCodec twice = Started();
-  CHECK(std::holds_alternative<CallerFault>(twice.Decode("START db who\r\n").front()));
+  CHECK(std::holds_alternative<CallerProtocolError>(twice.Decode("START db who\r\n").front()));
 }
 
 TEST_CASE("A message without end is refused before it fills the memory", "[platform]") {
   LineCallerCodec codec = Started();
   const auto messages = codec.Decode(std::string(kTooLong, 'x'));
   REQUIRE(messages.size() == 1);
-  CHECK(std::get<CallerFault>(messages[0]).error == ErrorCode::kTooLarge);
+  CHECK(std::get<CallerProtocolError>(messages[0]).error == ErrorCode::kTooLarge);
 }
 
 TEST_CASE("Bytes after the end of a session are not read", "[platform]") {
@@ -145,13 +145,13 @@
   for (const std::string bytes : {"ROW x\r\n", "COMPLETE x\r\n", "READY I 1.1\r\n", "NOISE\r\n"}) {
     LineInstanceCodec codec;
     codec.Decode("READY I -\r\n");
-    CHECK(std::holds_alternative<InstanceFault>(codec.Decode(bytes).front()));
+    CHECK(std::holds_alternative<InstanceProtocolError>(codec.Decode(bytes).front()));
   }
   LineInstanceCodec twice;
   twice.Decode("READY I -\r\n");
   twice.EncodeRequest(Read("id1"));
   const auto messages = twice.Decode("COMPLETE x\r\nCOMPLETE y\r\nREADY I 1.1\r\n");
-  CHECK(std::holds_alternative<InstanceFault>(messages.front()));
+  CHECK(std::holds_alternative<InstanceProtocolError>(messages.front()));
 }
 
 TEST_CASE("Replies to callers are whole lines", "[platform]") {
