--- a/src/explain/explain.cc
+++ b/src/explain/explain.cc
@@ -9,8 +9,8 @@
 
 using nlohmann::json;
 
-/// How long before the request's end something counts as context. Evacuations always do.
-constexpr std::int64_t kContextMs = 3000;
+/// Events within this time before the request's end count as context; evacuations always do.
+constexpr std::int64_t kContextWindowMs = 3000;
 
 std::string Field(const LogLine& line, const std::string& name) {
   const auto found = line.fields.find(name);
@@ -21,7 +21,7 @@
   return line.event == "evacuation_known" || line.event == "evacuation_over";
 }
 
-bool Concerns(const LogLine& line, const std::string& service, const std::string& instance) {
+bool IsContext(const LogLine& line, const std::string& service, const std::string& instance) {
   const bool of_service = !service.empty() && Field(line, "service") == service;
   const bool of_instance = !instance.empty() && Field(line, "instance") == instance;
   const bool of_store = line.event == "store_lost" || line.event == "thawed" ||
@@ -31,8 +31,8 @@
          Field(line, "request").empty();
 }
 
-/// @return what an error means, in a few words.
-std::string Meaning(const std::string& error) {
+/// @return a short description of an error code.
+std::string DescribeError(const std::string& error) {
   if (error == "busy") {
     return "refused, nothing ran; the caller was told when to come back";
   }
@@ -48,27 +48,28 @@
   return "answered with " + error;
 }
 
-/// @return why a request was turned away for its key or its tenant's limit.
-std::string TurnedAwayCause(const LogLine& line) {
+/// @return the reason for which a request was rejected: its key or its tenant's limit.
+std::string RejectionCause(const LogLine& line) {
   const std::string reason = Field(line, "reason");
   const std::string tenant = Field(line, "tenant");
   std::string cause = "turned away, nothing ran: " + reason;
   cause += tenant.empty() ? "" : " (tenant " + tenant + ")";
   cause += "; configuration " + Field(line, "version") + ", known to be the newest " +
            Field(line, "proof_age_ms") + " ms before";
-  const std::string pause = Field(line, "retry_after_ms");
-  cause +=
-      pause.empty() || pause == "0" ? "" : "; the caller was told to come back in " + pause + " ms";
+  const std::string retry_after = Field(line, "retry_after_ms");
+  cause += retry_after.empty() || retry_after == "0"
+               ? ""
+               : "; the caller was told to come back in " + retry_after + " ms";
   return cause;
 }
 
-/// @return which evacuation a refusal goes back to; empty if it goes back to none.
-std::string EvacuationBehind(const Account& account) {
-  const LogLine& last = account.own.back();
+/// @return the evacuation that caused a refusal; empty if there is none.
+std::string DescribeEvacuation(const Explanation& explanation) {
+  const LogLine& last = explanation.request_lines.back();
   if (Field(last, "reason").find("evacuated") == std::string::npos) {
     return "";
   }
-  for (auto line = account.context.rbegin(); line != account.context.rend(); ++line) {
+  for (auto line = explanation.context.rbegin(); line != explanation.context.rend(); ++line) {
     if (line->event == "evacuation_known") {
       return "; before that evacuation_known (zone " + Field(*line, "zone") + ")";
     }
@@ -76,8 +77,8 @@
   return "";
 }
 
-/// @return what the daemon expected of the wait of a request that it refused; empty if nothing.
-std::string ForecastCause(const LogLine& line) {
+/// @return the daemon's forecast of the wait of a request that it refused; empty if it has none.
+std::string DescribeForecast(const LogLine& line) {
   const std::string forecast = Field(line, "forecast_ms");
   if (forecast.empty()) {
     return "";
@@ -88,35 +89,35 @@
          forecast + " ms, it had waited for " + Field(line, "held_ms") + " ms";
 }
 
-std::string CauseOf(const Account& account) {
-  const LogLine& last = account.own.back();
+std::string CauseOf(const Explanation& explanation) {
+  const LogLine& last = explanation.request_lines.back();
   if (last.event == "transaction_barred") {
     return "its transaction was rolled back, since its instance " + Field(last, "instance") +
-           " may get nothing more: " + Field(last, "reason") + EvacuationBehind(account);
+           " may get nothing more: " + Field(last, "reason") + DescribeEvacuation(explanation);
   }
   if (last.event == "request_turned_away") {
-    return TurnedAwayCause(last);
+    return RejectionCause(last);
   }
   if (last.event != "request_failed") {
     return "it was " + last.event + " at " + Field(last, "instance") +
            "; no failure of it is on record, so it succeeded or its caller left";
   }
-  std::string cause = Meaning(Field(last, "error")) + ": " + Field(last, "reason");
-  cause += ForecastCause(last);
+  std::string cause = DescribeError(Field(last, "error")) + ": " + Field(last, "reason");
+  cause += DescribeForecast(last);
   const std::string instance = Field(last, "instance");
   if (!instance.empty()) {
     cause += " (last instance " + instance + ")";
   }
-  const std::string evacuation = EvacuationBehind(account);
+  const std::string evacuation = DescribeEvacuation(explanation);
   if (!evacuation.empty()) {
     return cause + evacuation;
   }
-  for (auto line = account.context.rbegin(); line != account.context.rend(); ++line) {
-    const bool tells = line->event == "primary_lost" || line->event == "instance_lost" ||
-                       line->event == "failover_started" || line->event == "store_lost" ||
-                       line->event == "instance_draining" || line->event == "instance_cold" ||
-                       line->event == "thawed" || line->event == "regions_changed";
-    if (tells) {
+  for (auto line = explanation.context.rbegin(); line != explanation.context.rend(); ++line) {
+    const bool is_cause = line->event == "primary_lost" || line->event == "instance_lost" ||
+                          line->event == "failover_started" || line->event == "store_lost" ||
+                          line->event == "instance_draining" || line->event == "instance_cold" ||
+                          line->event == "thawed" || line->event == "regions_changed";
+    if (is_cause) {
       cause += "; before that " + line->event;
       const bool cold = line->event == "instance_cold";
       const std::string reason = Field(*line, cold ? "known_by" : "reason");
@@ -164,7 +165,7 @@
     }
     LogLine line;
     line.process = parsed.at("process").get<std::string>();
-    line.life = parsed.value("life", std::uint64_t{0});
+    line.incarnation = parsed.value("life", std::uint64_t{0});
     line.sequence = parsed.at("seq").get<std::uint64_t>();
     line.monotonic_ms = parsed.value("mono_ms", std::int64_t{0});
     line.event = parsed.at("event").get<std::string>();
@@ -173,74 +174,76 @@
   }
 }
 
-Account Explain(const LogSet& logs, const std::string& request) {
-  Account account;
-  account.request = request;
+Explanation Explain(const LogSet& logs, const std::string& request) {
+  Explanation explanation;
+  explanation.request = request;
   for (const LogLine& line : logs.lines) {
     if (Field(line, "request") == request) {
-      account.own.push_back(line);
+      explanation.request_lines.push_back(line);
     }
   }
   const auto order = [](const LogLine& a, const LogLine& b) {
-    return std::tie(a.process, a.life, a.sequence) < std::tie(b.process, b.life, b.sequence);
+    return std::tie(a.process, a.incarnation, a.sequence) <
+           std::tie(b.process, b.incarnation, b.sequence);
   };
-  std::sort(account.own.begin(), account.own.end(), order);
-  if (account.own.empty()) {
-    return account;
+  std::sort(explanation.request_lines.begin(), explanation.request_lines.end(), order);
+  if (explanation.request_lines.empty()) {
+    return explanation;
   }
-  const LogLine& last = account.own.back();
+  const LogLine& last = explanation.request_lines.back();
   for (const LogLine& line : logs.lines) {
-    const bool before = line.process == last.process && line.life == last.life &&
-                        line.sequence < last.sequence &&
-                        (line.monotonic_ms >= last.monotonic_ms - kContextMs || IsEvacuation(line));
-    if (before && Concerns(line, Field(last, "service"), Field(last, "instance"))) {
-      account.context.push_back(line);
+    const bool before =
+        line.process == last.process && line.incarnation == last.incarnation &&
+        line.sequence < last.sequence &&
+        (line.monotonic_ms >= last.monotonic_ms - kContextWindowMs || IsEvacuation(line));
+    if (before && IsContext(line, Field(last, "service"), Field(last, "instance"))) {
+      explanation.context.push_back(line);
     }
   }
-  std::sort(account.context.begin(), account.context.end(), order);
-  account.cause = CauseOf(account);
-  return account;
+  std::sort(explanation.context.begin(), explanation.context.end(), order);
+  explanation.cause = CauseOf(explanation);
+  return explanation;
 }
 
-std::string FormatText(const Account& account, std::size_t unreadable) {
-  std::string text = "request " + account.request + "\n";
-  if (account.own.empty()) {
+std::string FormatText(const Explanation& explanation, std::size_t unreadable) {
+  std::string text = "request " + explanation.request + "\n";
+  if (explanation.request_lines.empty()) {
     text +=
         "no line names it: it succeeded at its first instance, or its line was over the limit\n";
   }
-  if (!account.context.empty()) {
+  if (!explanation.context.empty()) {
     text += "what its daemon had learned:\n";
-    for (const LogLine& line : account.context) {
+    for (const LogLine& line : explanation.context) {
       text += "  ";
       text += ToText(line) + "\n";
     }
   }
-  if (!account.own.empty()) {
+  if (!explanation.request_lines.empty()) {
     text += "the request:\n";
-    for (const LogLine& line : account.own) {
+    for (const LogLine& line : explanation.request_lines) {
       text += "  ";
       text += ToText(line) + "\n";
     }
     text += "cause: ";
-    text += account.cause + "\n";
+    text += explanation.cause + "\n";
   }
   text += "lines not read: " + std::to_string(unreadable) + "\n";
   return text;
 }
 
-std::string FormatJson(const Account& account, std::size_t unreadable) {
+std::string FormatJson(const Explanation& explanation, std::size_t unreadable) {
   json own = json::array();
-  for (const LogLine& line : account.own) {
+  for (const LogLine& line : explanation.request_lines) {
     own.push_back(ToJson(line));
   }
   json context = json::array();
-  for (const LogLine& line : account.context) {
+  for (const LogLine& line : explanation.context) {
     context.push_back(ToJson(line));
   }
-  return json{{"request", account.request},
+  return json{{"request", explanation.request},
               {"lines", std::move(own)},
               {"context", std::move(context)},
-              {"cause", account.cause},
+              {"cause", explanation.cause},
               {"lines_not_read", unreadable}}
       .dump(2);
 }
--- a/src/explain/explain.h
+++ b/src/explain/explain.h
@@ -1,7 +1,7 @@
-// Accounts for one request from the logs of all daemons.
+// Explains the outcome of one request from the logs of all daemons.
 //
-// Owns: nothing between calls. Invariant: lines of one process are ordered by their sequence
-// numbers, never by time of day; lines that can't be read are counted, not guessed at. Thread: any.
+// Invariant: lines of one process are ordered by their sequence numbers, never by time of day.
+// Unreadable lines are counted and otherwise ignored. No I/O; thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,33 +15,34 @@
 /// One line of a log.
 struct LogLine {
   std::string process;
-  std::uint64_t life = 0;  // of the process; sequence numbers begin anew with each
+  std::uint64_t incarnation = 0;  // of the process; sequence numbers restart with each
   std::uint64_t sequence = 0;
-  std::int64_t monotonic_ms = 0;  // of the process's own clock
+  std::int64_t monotonic_ms = 0;  // of the process's monotonic clock
   std::string event;
   nlohmann::json fields;
 };
 
-/// All lines of some logs.
+/// The lines of one or more logs.
 struct LogSet {
   std::vector<LogLine> lines;
   std::size_t unreadable = 0;
 };
 
-/// Adds the lines of a log. Text before a line's first brace is passed over.
+/// Adds the lines of a log. Text before a line's first brace is ignored.
 void ReadLog(const std::string& text, LogSet& logs);
 
-/// What is known of a request.
-struct Account {
+/// The log lines about a request and the cause of its outcome.
+struct Explanation {
   std::string request;
-  std::vector<LogLine> own;      // lines that name the request
-  std::vector<LogLine> context;  // what the process learned of its service or instance before
-  std::string cause;             // in one sentence; empty if no line names the request
+  std::vector<LogLine> request_lines;  // lines that name the request
+  std::vector<LogLine> context;        // earlier lines about its service or instance
+  std::string cause;                   // one sentence; empty if no line names the request
 };
 
-Account Explain(const LogSet& logs, const std::string& request);
+/// Collects the lines of a request, their context, and the cause.
+Explanation Explain(const LogSet& logs, const std::string& request);
 
-std::string FormatText(const Account& account, std::size_t unreadable);
-std::string FormatJson(const Account& account, std::size_t unreadable);
+std::string FormatText(const Explanation& explanation, std::size_t unreadable);
+std::string FormatJson(const Explanation& explanation, std::size_t unreadable);
 
 }  // namespace valvekeel::explain
--- a/src/explain/summary.cc
+++ b/src/explain/summary.cc
@@ -11,8 +11,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr const char* kComeBack = "retry_after_ms=";
-constexpr std::size_t kMostShown = 12;  // lines of a table
+constexpr const char* kRetryAfter = "retry_after_ms=";
+constexpr std::size_t kMaxTableRows = 12;
 
 std::string Field(const LogLine& line, const std::string& name) {
   const auto found = line.fields.find(name);
@@ -23,9 +23,9 @@
   return milliseconds(line.fields.value("time_ms", std::int64_t{0}));
 }
 
-/// @return the reason without the time to come back that stands before it.
-std::string BareReason(const std::string& reason) {
-  if (!reason.starts_with(kComeBack)) {
+/// @return the reason without the retry-after time at its start.
+std::string StripRetryAfter(const std::string& reason) {
+  if (!reason.starts_with(kRetryAfter)) {
     return reason;
   }
   const std::size_t blank = reason.find(' ');
@@ -41,38 +41,39 @@
   return first.value_or(milliseconds(0));
 }
 
-/// Follows one life of a process.
-struct LifeState {
-  std::map<std::string, Replacement> open;         // by service
-  std::map<std::string, std::int64_t> lost_since;  // monotonic ms, by service
-  std::map<std::string, std::int64_t> began;       // monotonic ms, by service
+/// Replacements and losses of primaries in one incarnation of a process.
+struct ProcessState {
+  std::map<std::string, Replacement> open;       // by service
+  std::map<std::string, std::int64_t> lost_at;   // monotonic ms, by service
+  std::map<std::string, std::int64_t> begun_at;  // monotonic ms, by service
 };
 
 class Summarizer {
  public:
   Summarizer(milliseconds first, seconds window) : first_(first), window_(window) {}
 
-  void Take(const LogLine& line) {
-    LifeState& life = lives_[{line.process, line.life}];
+  void AddLine(const LogLine& line) {
+    ProcessState& state = processes_[{line.process, line.incarnation}];
     const std::string service = Field(line, "service");
     if (line.event == "request_failed" || line.event == "request_turned_away") {
-      TakeFailure(line, service);
+      AddFailure(line, service);
     } else if (line.event == "primary_lost") {
-      life.lost_since.try_emplace(service, line.monotonic_ms);
+      state.lost_at.try_emplace(service, line.monotonic_ms);
     } else if (line.event == "primary_regained") {
-      life.lost_since.erase(service);
+      state.lost_at.erase(service);
     } else if (line.event == "failover_started") {
-      Begin(line, service, life);
-    } else if (line.event == "failover_step" && life.open.contains(service)) {
-      life.open[service].steps.push_back({Field(line, "step"), Since(line, service, life)});
-    } else if (line.event == "failover_ended" && life.open.contains(service)) {
-      End(line, service, life);
+      BeginReplacement(line, service, state);
+    } else if (line.event == "failover_step" && state.open.contains(service)) {
+      state.open[service].steps.push_back(
+          {Field(line, "step"), TimeSinceBegin(line, service, state)});
+    } else if (line.event == "failover_ended" && state.open.contains(service)) {
+      EndReplacement(line, service, state);
     }
   }
 
   LogSummary Finish(std::size_t lines, std::size_t unreadable) {
-    for (auto& [process, life] : lives_) {
-      for (auto& [service, replacement] : life.open) {
+    for (auto& [process, state] : processes_) {
+      for (auto& [service, replacement] : state.open) {
         summary_.replacements.push_back(std::move(replacement));
       }
     }
@@ -86,37 +87,38 @@
   }
 
  private:
-  void TakeFailure(const LogLine& line, const std::string& service) {
+  void AddFailure(const LogLine& line, const std::string& service) {
     const auto elapsed = std::chrono::duration_cast<seconds>(TimeOf(line) - first_);
     const FailureGroup group{elapsed / window_ * window_, service, line.process,
-                             Field(line, "error"), BareReason(Field(line, "reason"))};
+                             Field(line, "error"), StripRetryAfter(Field(line, "reason"))};
     ++summary_.failures[group];
-    summary_.left_out[line.process] += line.fields.value("suppressed_before", std::uint64_t{0});
+    summary_.suppressed[line.process] += line.fields.value("suppressed_before", std::uint64_t{0});
   }
 
-  void Begin(const LogLine& line, const std::string& service, LifeState& life) {
+  void BeginReplacement(const LogLine& line, const std::string& service, ProcessState& state) {
     Replacement replacement;
     replacement.process = line.process;
     replacement.service = service;
     replacement.reason = Field(line, "reason");
-    replacement.former = Field(line, "primary");
+    replacement.former_primary = Field(line, "primary");
     replacement.started = TimeOf(line) - first_;
-    life.open[service] = std::move(replacement);
-    life.began[service] = line.monotonic_ms;
+    state.open[service] = std::move(replacement);
+    state.begun_at[service] = line.monotonic_ms;
   }
 
-  static milliseconds Since(const LogLine& line, const std::string& service, LifeState& life) {
-    return milliseconds(line.monotonic_ms - life.began[service]);
+  static milliseconds TimeSinceBegin(const LogLine& line, const std::string& service,
+                                     ProcessState& state) {
+    return milliseconds(line.monotonic_ms - state.begun_at[service]);
   }
 
-  void End(const LogLine& line, const std::string& service, LifeState& life) {
-    Replacement replacement = std::move(life.open[service]);
-    life.open.erase(service);
+  void EndReplacement(const LogLine& line, const std::string& service, ProcessState& state) {
+    Replacement replacement = std::move(state.open[service]);
+    state.open.erase(service);
     replacement.outcome = Field(line, "outcome");
     replacement.candidate = Field(line, "candidate");
-    replacement.took = Since(line, service, life);
-    const auto lost = life.lost_since.find(service);
-    if (lost != life.lost_since.end()) {
+    replacement.duration = TimeSinceBegin(line, service, state);
+    const auto lost = state.lost_at.find(service);
+    if (lost != state.lost_at.end()) {
       replacement.gap = milliseconds(line.monotonic_ms - lost->second);
     }
     summary_.replacements.push_back(std::move(replacement));
@@ -124,13 +126,13 @@
 
   milliseconds first_;
   seconds window_;
-  std::map<std::pair<std::string, std::uint64_t>, LifeState> lives_;
+  std::map<std::pair<std::string, std::uint64_t>, ProcessState> processes_;
   LogSummary summary_;
 };
 
 using KeyOf = std::function<std::string(const FailureGroup&)>;
 
-/// @return the numbers of failures by one of their fields, highest first.
+/// @return the numbers of failures by one of their fields, in descending order.
 std::vector<std::pair<std::string, std::uint64_t>> CountBy(const LogSummary& summary,
                                                            const KeyOf& key) {
   std::map<std::string, std::uint64_t> counts;
@@ -147,7 +149,7 @@
   std::string text = title + "\n";
   std::size_t shown = 0;
   for (const auto& [name, count] : CountBy(summary, key)) {
-    if (++shown > kMostShown) {
+    if (++shown > kMaxTableRows) {
       text += "  ...\n";
       break;
     }
@@ -159,9 +161,9 @@
 std::string ToText(const Replacement& replacement) {
   std::string text = "  " + std::to_string(replacement.started.count()) + " ms " +
                      replacement.process + " " + replacement.service + " (" + replacement.reason +
-                     "): " + replacement.former + " -> " + replacement.candidate + ", " +
+                     "): " + replacement.former_primary + " -> " + replacement.candidate + ", " +
                      (replacement.outcome.empty() ? "not ended" : replacement.outcome) + " in " +
-                     std::to_string(replacement.took.count()) + " ms";
+                     std::to_string(replacement.duration.count()) + " ms";
   if (replacement.gap) {
     text += ", lost for " + std::to_string(replacement.gap->count()) + " ms";
   }
@@ -180,11 +182,11 @@
   json object = {{"process", replacement.process},
                  {"service", replacement.service},
                  {"reason", replacement.reason},
-                 {"former", replacement.former},
+                 {"former", replacement.former_primary},
                  {"candidate", replacement.candidate},
                  {"outcome", replacement.outcome},
                  {"started_ms", replacement.started.count()},
-                 {"took_ms", replacement.took.count()},
+                 {"took_ms", replacement.duration.count()},
                  {"steps", std::move(steps)}};
   if (replacement.gap) {
     object["gap_ms"] = replacement.gap->count();
@@ -208,11 +210,12 @@
     order.push_back(&line);
   }
   std::sort(order.begin(), order.end(), [](const LogLine* a, const LogLine* b) {
-    return std::tie(a->process, a->life, a->sequence) < std::tie(b->process, b->life, b->sequence);
+    return std::tie(a->process, a->incarnation, a->sequence) <
+           std::tie(b->process, b->incarnation, b->sequence);
   });
   Summarizer summarizer(FirstTime(logs), std::max(window, seconds(1)));
   for (const LogLine* line : order) {
-    summarizer.Take(*line);
+    summarizer.AddLine(*line);
   }
   return summarizer.Finish(logs.lines.size(), logs.unreadable);
 }
@@ -227,7 +230,7 @@
     return "from " + std::to_string(group.window.count()) + " s";
   });
   text +=
-      "failed requests that the logs left out: " + std::to_string(Total(summary.left_out)) + "\n";
+      "failed requests that the logs left out: " + std::to_string(Total(summary.suppressed)) + "\n";
   text += "replacements of primaries\n";
   for (const Replacement& replacement : summary.replacements) {
     text += ToText(replacement);
@@ -252,7 +255,7 @@
     replacements.push_back(ToJson(replacement));
   }
   return json{{"failures", std::move(failures)},
-              {"left_out", summary.left_out},
+              {"left_out", summary.suppressed},
               {"replacements", std::move(replacements)},
               {"lines", summary.lines},
               {"lines_not_read", summary.unreadable}}
--- a/src/operator/commands.cc
+++ b/src/operator/commands.cc
@@ -205,11 +205,11 @@
   if (!logs) {
     return kUnreadable;
   }
-  const explain::Account account = explain::Explain(*logs, request);
+  const explain::Explanation account = explain::Explain(*logs, request);
   std::cout << (format == OutputFormat::kJson
                     ? explain::FormatJson(account, logs->unreadable) + "\n"
                     : explain::FormatText(account, logs->unreadable));
-  return account.own.empty() ? kFinding : 0;
+  return account.request_lines.empty() ? kFinding : 0;
 }
 
 int RunSummary(const std::vector<std::string>& paths, std::chrono::seconds window,
--- a/tests/explain/explain_test.cc
+++ b/tests/explain/explain_test.cc
@@ -20,21 +20,22 @@
 
 }  // namespace
 
-TEST_CASE("A refused request leads to the loss of its primary", "[explain]") {
+TEST_CASE("A refused request is explained by the loss of its primary", "[explain]") {
   LogSet logs;
   ReadLog(kLog, logs);
   CHECK(logs.unreadable == 2);
-  const Account account = Explain(logs, "r1");
-  REQUIRE(account.own.size() == 2);
-  CHECK(account.own[0].event == "request_retried");  // by sequence, not by place in the file
-  REQUIRE(account.context.size() == 1);
-  CHECK(account.cause.find("no usable primary") != std::string::npos);
-  CHECK(account.cause.find("primary_lost (unreachable)") != std::string::npos);
-  CHECK(FormatText(account, logs.unreadable).find("lines not read: 2") != std::string::npos);
-  CHECK(nlohmann::json::parse(FormatJson(account, 2)).at("lines").size() == 2);
+  const Explanation explanation = Explain(logs, "r1");
+  REQUIRE(explanation.request_lines.size() == 2);
+  CHECK(explanation.request_lines[0].event ==
+        "request_retried");  // ordered by sequence number, not by position in the file
+  REQUIRE(explanation.context.size() == 1);
+  CHECK(explanation.cause.find("no usable primary") != std::string::npos);
+  CHECK(explanation.cause.find("primary_lost (unreachable)") != std::string::npos);
+  CHECK(FormatText(explanation, logs.unreadable).find("lines not read: 2") != std::string::npos);
+  CHECK(nlohmann::json::parse(FormatJson(explanation, 2)).at("lines").size() == 2);
 }
 
-TEST_CASE("A request refused early is told by the wait that was expected", "[explain]") {
+TEST_CASE("A request refused early is explained by its expected wait", "[explain]") {
   LogSet logs;
   ReadLog(
       "{\"seq\":1,\"mono_ms\":90,\"process\":\"d1\",\"event\":\"request_failed\","
@@ -47,7 +48,7 @@
                    "waited for 9 ms") != std::string::npos);
 }
 
-TEST_CASE("Lines of an earlier life of the process are no context", "[explain]") {
+TEST_CASE("Lines of an earlier incarnation of the process are not context", "[explain]") {
   LogSet logs;
   ReadLog(
       "{\"life\":1,\"seq\":5,\"mono_ms\":90,\"process\":\"d1\",\"event\":\"primary_lost\","
@@ -58,8 +59,7 @@
   CHECK(Explain(logs, "r1").context.empty());
 }
 
-TEST_CASE("A request turned away for its tenant's limit is explained with its inputs",
-          "[explain]") {
+TEST_CASE("A request rejected for its tenant's limit is explained with its inputs", "[explain]") {
   LogSet logs;
   ReadLog(
       "{\"life\":2,\"seq\":9,\"mono_ms\":99,\"process\":\"d1\",\"event\":\"request_turned_away\","
@@ -73,7 +73,8 @@
   CHECK(cause.find("come back in 120 ms") != std::string::npos);
 }
 
-TEST_CASE("A request outside its regions leads to the configuration that set them", "[explain]") {
+TEST_CASE("A request outside its regions is explained by the configuration that set them",
+          "[explain]") {
   LogSet logs;
   ReadLog(
       "{\"life\":2,\"seq\":8,\"mono_ms\":90,\"process\":\"d1\",\"event\":\"regions_changed\","
@@ -83,10 +84,10 @@
       "regions\","
       "\"service\":\"g\"}\n",
       logs);
-  const Account account = Explain(logs, "r1");
-  CHECK(account.cause.find("outside its regions") != std::string::npos);
-  CHECK(account.cause.find("before that regions_changed") != std::string::npos);
-  REQUIRE(account.context.size() == 1);
+  const Explanation explanation = Explain(logs, "r1");
+  CHECK(explanation.cause.find("outside its regions") != std::string::npos);
+  CHECK(explanation.cause.find("before that regions_changed") != std::string::npos);
+  REQUIRE(explanation.context.size() == 1);
 }
 
 TEST_CASE("A transaction ended by a rule on where work may run is explained by it", "[explain]") {
@@ -100,12 +101,12 @@
   CHECK(cause.find("i-1 may get nothing more: outside its regions") != std::string::npos);
 }
 
-TEST_CASE("A request that no line names has no invented cause", "[explain]") {
+TEST_CASE("A request that no line names has no cause", "[explain]") {
   LogSet logs;
   ReadLog(kLog, logs);
-  const Account account = Explain(logs, "r2");
-  CHECK(account.own.empty());
-  CHECK(account.cause.empty());
+  const Explanation explanation = Explain(logs, "r2");
+  CHECK(explanation.request_lines.empty());
+  CHECK(explanation.cause.empty());
 }
 
 TEST_CASE("A refusal for an evacuated zone names the evacuation, however long ago", "[explain]") {
--- a/tests/explain/summary_test.cc
+++ b/tests/explain/summary_test.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("Failures are counted by window, and what was left out apart", "[explain]") {
+TEST_CASE("Failures are counted by window, suppressed lines separately", "[explain]") {
   const LogSummary summary = SummaryOf(kLog);
   REQUIRE(summary.failures.size() == 2);
   const FailureGroup first{seconds(0), "g", "d2", "busy", "no free connection"};
@@ -34,23 +34,23 @@
   FailureGroup second = first;
   second.window = seconds(2);
   CHECK(summary.failures.at(second) == 1);
-  CHECK(summary.left_out.at("d2") == 5);
+  CHECK(summary.suppressed.at("d2") == 5);
   CHECK(summary.unreadable == 1);
 }
 
-TEST_CASE("A replacement is told with its steps and the gap", "[explain]") {
+TEST_CASE("A replacement is reported with its steps and the gap", "[explain]") {
   const LogSummary summary = SummaryOf(kLog);
   REQUIRE(summary.replacements.size() == 1);
   const Replacement& replacement = summary.replacements[0];
   CHECK(replacement.outcome == "finished");
   CHECK(replacement.candidate == "a");
-  CHECK(replacement.took == milliseconds(400));
+  CHECK(replacement.duration == milliseconds(400));
   CHECK(replacement.gap == milliseconds(500));
   REQUIRE(replacement.steps.size() == 1);
   CHECK(replacement.steps[0].after == milliseconds(50));
 }
 
-TEST_CASE("A replacement whose end no line tells is told all the same", "[explain]") {
+TEST_CASE("A replacement without a logged end is reported", "[explain]") {
   const LogSummary summary = SummaryOf(
       R"({"process":"d1","life":1,"seq":2,"time_ms":1,"mono_ms":1,"event":"failover_started","service":"g","reason":"draining","primary":"p"})");
   REQUIRE(summary.replacements.size() == 1);
@@ -59,7 +59,7 @@
   CHECK(FormatText(summary).find("not ended") != std::string::npos);
 }
 
-TEST_CASE("The summary's JSON form holds the same numbers", "[explain]") {
+TEST_CASE("The summary in JSON contains the same numbers", "[explain]") {
   const auto parsed = nlohmann::json::parse(FormatJson(SummaryOf(kLog)));
   CHECK(parsed.at("failures").size() == 2);
   CHECK(parsed.at("replacements")[0].at("gap_ms") == 500);
