--- a/src/pool/admission.cc
+++ b/src/pool/admission.cc
@@ -44,7 +44,7 @@
   }
 }
 
-void Admission::LiftQuietGroup(Group& group) {
+void Admission::RaiseUsageOfIdleGroup(Group& group) {
   // Without this a group that was quiet for long would hold every slot until its usage has caught
   // up with that of the others.
   std::optional<double> lowest;
@@ -91,7 +91,7 @@
   Decay(now);
   Group& group = groups_[arrival.group];
   if (group.queue.empty() && group.running == 0) {
-    LiftQuietGroup(group);
+    RaiseUsageOfIdleGroup(group);
   }
   if (arrival.in_transaction) {
     if (running_.size() < settings_.slots) {
@@ -113,7 +113,7 @@
   }
   group.queue.push_back(arrival);
   // Others may wait only because they are at their maximum; then this one can start at once.
-  const std::vector<Ticket> started = StartWaiting(now);
+  const std::vector<Ticket> started = StartQueued(now);
   const bool began = std::find(started.begin(), started.end(), arrival.ticket) != started.end();
   return {began ? Verdict::kStarted : Verdict::kQueued, Duration{0}};
 }
@@ -146,7 +146,7 @@
   return next;
 }
 
-std::vector<Ticket> Admission::StartWaiting(Instant now) {
+std::vector<Ticket> Admission::StartQueued(Instant now) {
   std::vector<Ticket> started;
   while (running_.size() < settings_.slots) {
     std::deque<Arrival>* queue = &transactions_;
@@ -180,7 +180,7 @@
   service_time_us_ =
       service_time_us_ > 0 ? (1 - kSmoothing) * service_time_us_ + kSmoothing * used_us : used_us;
   running_.erase(found);
-  return StartWaiting(now);
+  return StartQueued(now);
 }
 
 std::vector<Ticket> Admission::Expire(Instant now) {
--- a/src/pool/admission.h
+++ b/src/pool/admission.h
@@ -104,9 +104,9 @@
   };
 
   void Decay(common::Instant now);
-  void LiftQuietGroup(Group& group);
+  void RaiseUsageOfIdleGroup(Group& group);
   void Begin(const Arrival& arrival, common::Instant now);
-  std::vector<Ticket> StartWaiting(common::Instant now);
+  std::vector<Ticket> StartQueued(common::Instant now);
   Group* NextGroup();
   static bool AtMaximum(const Group& group);
 
--- a/src/pool/instance_pool.cc
+++ b/src/pool/instance_pool.cc
@@ -167,14 +167,14 @@
     const ConnectionPointer connection = NewConnection();
     const auto failure = co_await connection->Open(settings_.connect_timeout);
     if (failure) {
-      Lost();
+      OnInstanceLost();
       co_await WaitOn(std::make_shared<Waiter>(loop_), kReconnectPause);
       continue;
     }
     while (!stopped_) {
       const auto probed = co_await ProbeInTime(connection);
       if (!IsOk(probed)) {
-        Lost();
+        OnInstanceLost();
         break;
       }
       Observe(ValueOf(probed));
@@ -235,7 +235,7 @@
   }
 }
 
-void InstancePool::Lost() {
+void InstancePool::OnInstanceLost() {
   if (reachable_) {
     Log(LogLevel::kWarning, "instance_lost", {{"database", database_}, {"instance", spec_.id}});
     // An instance that does not answer its probe will not answer its statements either.
@@ -334,7 +334,7 @@
     pinned = &current->second;
     connection = pinned->connection;
   } else {
-    auto obtained = co_await Obtain(deadline);
+    auto obtained = co_await AcquireConnection(deadline);
     if (!IsOk(obtained)) {
       FinishTicket(ticket);
       BatchReply refusal = ErrorOf(obtained);
@@ -345,7 +345,7 @@
   }
   running_[session] = {connection, false};
   bool recorded = pinned != nullptr && pinned->recorded;
-  RunFacts facts;
+  RecordingResult facts;
   BatchReply reply = co_await RunOn(connection, request, pinned, &facts);
   const bool released = running_[session].released;
   running_.erase(session);
@@ -359,7 +359,7 @@
   }
   reply.status = connection->Status();
   if (reply.status != wire::TransactionStatus::kIdle) {
-    KeepPinned(session, connection, recorded);
+    PinConnection(session, connection, recorded);
     if (facts.already_recorded) {
       co_return co_await ConfirmReply(request, std::move(reply), true, deadline);
     }
@@ -472,8 +472,8 @@
   }
 }
 
-awaitable<common::Result<InstancePool::ConnectionPointer, BatchReply>> InstancePool::Obtain(
-    Instant deadline) {
+awaitable<common::Result<InstancePool::ConnectionPointer, BatchReply>>
+InstancePool::AcquireConnection(Instant deadline) {
   const BatchRequest unnamed;
   while (SteadyNow() < deadline && !stopped_) {
     while (!idle_.empty()) {
@@ -510,7 +510,7 @@
 }
 
 awaitable<void> InstancePool::EnsureRequestTable(Instant deadline) {
-  auto obtained = co_await Obtain(deadline);
+  auto obtained = co_await AcquireConnection(deadline);
   if (!IsOk(obtained)) {
     co_return;  // the batch itself will find out
   }
@@ -575,7 +575,7 @@
 }
 
 awaitable<BatchReply> InstancePool::RunOn(ConnectionPointer connection, const BatchRequest& request,
-                                          PinnedTransaction* pinned, RunFacts* facts) {
+                                          PinnedTransaction* pinned, RecordingResult* facts) {
   const bool in_transaction = pinned != nullptr;
   const bool check = !in_transaction && settings_.check_positions &&
                      request.access == Access::kRead &&
--- a/src/pool/instance_pool.h
+++ b/src/pool/instance_pool.h
@@ -100,7 +100,7 @@
   void ReleaseGateway(const cluster::MemberId& gateway);
 
   /// @return true if the session's transaction is open here.
-  bool Holds(const SessionKey& session) const { return pinned_.contains(session); }
+  bool HasOpenTransaction(const SessionKey& session) const { return pinned_.contains(session); }
 
   /// Cancels the statement that the session is running.
   void Cancel(const SessionKey& session);
@@ -142,7 +142,7 @@
   using WaiterPointer = std::shared_ptr<Waiter>;
 
   asio::awaitable<void> Monitor();
-  asio::awaitable<void> ConfirmWith(std::string peer);
+  asio::awaitable<void> RunConfirmer(std::string peer);
   asio::awaitable<void> WaitOn(WaiterPointer waiter, common::Duration limit);
   static void Wake(const WaiterPointer& waiter, bool failed);
 
@@ -150,17 +150,18 @@
                                                              common::Instant deadline);
   asio::awaitable<std::optional<BatchReply>> WaitForSlot(const BatchRequest& request, Ticket ticket,
                                                          common::Instant deadline);
-  asio::awaitable<common::Result<ConnectionPointer, BatchReply>> Obtain(common::Instant deadline);
+  asio::awaitable<common::Result<ConnectionPointer, BatchReply>> AcquireConnection(
+      common::Instant deadline);
   asio::awaitable<std::optional<BatchReply>> ApplySettings(ConnectionPointer connection,
                                                            const BatchRequest& request);
   asio::awaitable<void> EnsureRequestTable(common::Instant deadline);
   /// What a run did beside its reply.
-  struct RunFacts {
+  struct RecordingResult {
     bool recorded = false;          // the request id went into the transaction
     bool already_recorded = false;  // the request id was there before
   };
   asio::awaitable<BatchReply> RunOn(ConnectionPointer connection, const BatchRequest& request,
-                                    PinnedTransaction* pinned, RunFacts* facts);
+                                    PinnedTransaction* pinned, RecordingResult* facts);
   asio::awaitable<std::optional<common::Position>> CurrentPosition(common::Instant deadline);
   asio::awaitable<BatchReply> ConfirmReply(const BatchRequest& request, BatchReply reply,
                                            bool already_recorded, common::Instant deadline);
@@ -169,17 +170,17 @@
   asio::awaitable<confirmation::ConfirmationResult> Confirm(common::Position position,
                                                             bool position_needed,
                                                             common::Duration limit);
-  void Settle(const std::vector<confirmation::Resolution>& resolutions);
+  void CompleteConfirmations(const std::vector<confirmation::Resolution>& resolutions);
   void Observe(const monitor::Observation& observation);
   asio::awaitable<void> WaitForFirstProbe(common::Instant deadline);
   void ObserveInBand(const monitor::Observation& observation);
-  void Lost();
+  void OnInstanceLost();
   asio::awaitable<common::Result<monitor::Observation, backend::ConnectionError>> ProbeInTime(
       ConnectionPointer connection);
   void FinishTicket(Ticket ticket);
   void ReturnConnection(ConnectionPointer connection);
   void Discard(const ConnectionPointer& connection);
-  void KeepPinned(const SessionKey& session, const ConnectionPointer& connection, bool recorded);
+  void PinConnection(const SessionKey& session, const ConnectionPointer& connection, bool recorded);
   void ExpireIdleTransactions(common::Instant now);
   void StartConfirmers();
   std::optional<BatchReply> RefuseNewWork(const BatchRequest& request) const;
--- a/src/pool/instance_pool_commit.cc
+++ b/src/pool/instance_pool_commit.cc
@@ -31,8 +31,8 @@
 
 // --- Open transactions ------------------------------------------------------------------------
 
-void InstancePool::KeepPinned(const SessionKey& session, const ConnectionPointer& connection,
-                              bool recorded) {
+void InstancePool::PinConnection(const SessionKey& session, const ConnectionPointer& connection,
+                                 bool recorded) {
   PinnedTransaction& pinned = pinned_[session];
   pinned.connection = connection;
   pinned.recorded = recorded;
@@ -110,12 +110,12 @@
     const auto self = shared_from_this();
     const std::string peer = spec.id;
     asio::co_spawn(
-        loop_, [self, peer]() -> awaitable<void> { co_await self->ConfirmWith(peer); },
+        loop_, [self, peer]() -> awaitable<void> { co_await self->RunConfirmer(peer); },
         asio::detached);
   }
 }
 
-awaitable<void> InstancePool::ConfirmWith(std::string peer) {
+awaitable<void> InstancePool::RunConfirmer(std::string peer) {
   ConnectionPointer connection;
   while (!stopped_) {
     const auto spec =
@@ -125,7 +125,7 @@
       confirmers_.erase(peer);
       co_return;
     }
-    Settle(confirmation_.Expire(SteadyNow()));
+    CompleteConfirmations(confirmation_.Expire(SteadyNow()));
     if (!confirmation_.NeedsProbe(peer)) {
       confirmers_[peer] = std::make_shared<Waiter>(loop_);
       co_await WaitOn(confirmers_[peer], kLongestWait);
@@ -151,14 +151,14 @@
       // The new primary itself; no need to wait for its own owner's next probe.
       on_topology_(database_, peer, answer);
     }
-    Settle(confirmation_.OnProbeAnswer(probe, {answer.term, answer.received}));
+    CompleteConfirmations(confirmation_.OnProbeAnswer(probe, {answer.term, answer.received}));
     if (confirmation_.NeedsProbe(peer)) {
       co_await WaitOn(std::make_shared<Waiter>(loop_), settings_.confirm_pause);
     }
   }
 }
 
-void InstancePool::Settle(const std::vector<confirmation::Resolution>& resolutions) {
+void InstancePool::CompleteConfirmations(const std::vector<confirmation::Resolution>& resolutions) {
   for (const confirmation::Resolution& resolution : resolutions) {
     const auto found = confirming_.find(resolution.number);
     if (found == confirming_.end()) {
@@ -177,19 +177,19 @@
   const confirmation::PendingNumber number = next_pending_++;
   const auto waiter = std::make_shared<Waiter>(loop_);
   confirming_[number] = {waiter, confirmation::ConfirmationResult::kTimedOut};
-  Settle(confirmation_.Add(number, position, position_needed, SteadyNow() + limit));
+  CompleteConfirmations(confirmation_.Add(number, position, position_needed, SteadyNow() + limit));
   for (const auto& [peer, confirmer] : confirmers_) {
     Wake(confirmer, false);
   }
   co_await WaitOn(waiter, limit);
-  Settle(confirmation_.Expire(SteadyNow()));
+  CompleteConfirmations(confirmation_.Expire(SteadyNow()));
   const confirmation::ConfirmationResult verdict = confirming_[number].second;
   confirming_.erase(number);
   co_return verdict;
 }
 
 awaitable<std::optional<common::Position>> InstancePool::CurrentPosition(Instant deadline) {
-  auto obtained = co_await Obtain(deadline);
+  auto obtained = co_await AcquireConnection(deadline);
   if (!IsOk(obtained)) {
     co_return std::nullopt;
   }
--- a/src/pool/run_plan.cc
+++ b/src/pool/run_plan.cc
@@ -48,7 +48,7 @@
   return statements;
 }
 
-RunPlan BuildRunPlan(const BatchRequest& request, const PlanNeeds& needs) {
+RunPlan BuildRunPlan(const BatchRequest& request, const RunPlanOptions& needs) {
   RunPlan plan;
   plan.internal.reserve(kMostInternal);
   if (needs.check_position) {
--- a/src/pool/run_plan.h
+++ b/src/pool/run_plan.h
@@ -18,7 +18,7 @@
 inline constexpr std::string_view kRequestTable = "valvekeel_requests";
 
 /// What the connection's state asks for beside the caller's statements.
-struct PlanNeeds {
+struct RunPlanOptions {
   bool in_transaction = false;  // the session's transaction is open on the connection
   bool check_position = false;  // the connection has not seen the needed position yet
   bool record_request = false;  // the request id is not in the transaction yet
@@ -36,7 +36,7 @@
 };
 
 /// @param request outlives the plan, which points to its statements.
-RunPlan BuildRunPlan(const BatchRequest& request, const PlanNeeds& needs);
+RunPlan BuildRunPlan(const BatchRequest& request, const RunPlanOptions& needs);
 
 /// @return a statement without parameters.
 Statement TextStatement(std::string text);
