--- a/src/pool/admission.cc
+++ b/src/pool/admission.cc
@@ -10,7 +10,7 @@
 using common::Duration;
 using common::Instant;
 
-constexpr double kSmoothing = 0.1;  // weight of the newest service time
+constexpr double kSmoothing = 0.1;  // weight of the newest service time in the moving average
 
 }  // namespace
 
@@ -45,19 +45,19 @@
 }
 
 void Admission::RaiseUsageOfIdleGroup(Group& group) {
-  // Without this a group that was quiet for long would hold every slot until its usage has caught
-  // up with that of the others.
-  std::optional<double> lowest;
+  // Without this rule, a group that was idle for long would get every slot until its usage
+  // equals that of the others.
+  std::optional<double> lowest_usage;
   for (const auto& [name, other] : groups_) {
     const bool active = &other != &group && (other.running > 0 || !other.queue.empty());
     const double normalized = other.usage / other.share.share;
-    if (active && (!lowest || normalized < *lowest)) {
-      lowest = normalized;
+    if (active && (!lowest_usage || normalized < *lowest_usage)) {
+      lowest_usage = normalized;
     }
   }
-  if (lowest) {
+  if (lowest_usage) {
     const double credit = static_cast<double>(settings_.burst_credit.count());
-    group.usage = std::max(group.usage, (*lowest - credit) * group.share.share);
+    group.usage = std::max(group.usage, (*lowest_usage - credit) * group.share.share);
   }
 }
 
@@ -96,26 +96,26 @@
   if (arrival.in_transaction) {
     if (running_.size() < settings_.slots) {
       Begin(arrival, now);
-      return {Verdict::kStarted, Duration{0}};
+      return {AdmissionOutcome::kStarted, Duration{0}};
     }
     transactions_.push_back(arrival);
-    return {Verdict::kQueued, Duration{0}};
+    return {AdmissionOutcome::kQueued, Duration{0}};
   }
   const bool free_slot = running_.size() < settings_.slots && Queued() == 0;
   if (free_slot && !AtMaximum(group)) {
     Begin(arrival, now);
-    return {Verdict::kStarted, Duration{0}};
+    return {AdmissionOutcome::kStarted, Duration{0}};
   }
   const Duration wait = PredictWait(arrival.group);
   if (now + wait > arrival.deadline || group.queue.size() >= settings_.queue_limit) {
     ++group.refused;
-    return {Verdict::kRefused, wait};
+    return {AdmissionOutcome::kRefused, wait};
   }
   group.queue.push_back(arrival);
-  // Others may wait only because they are at their maximum; then this one can start at once.
+  // If all other queued requests belong to groups at their maximum, this one can start at once.
   const std::vector<Ticket> started = StartQueued(now);
   const bool began = std::find(started.begin(), started.end(), arrival.ticket) != started.end();
-  return {began ? Verdict::kStarted : Verdict::kQueued, Duration{0}};
+  return {began ? AdmissionOutcome::kStarted : AdmissionOutcome::kQueued, Duration{0}};
 }
 
 void Admission::Begin(const Arrival& arrival, Instant now) {
--- a/src/pool/admission.h
+++ b/src/pool/admission.h
@@ -1,9 +1,8 @@
-// Admission to one instance: which group's request takes the next free slot.
+// Admission control of one instance: decides which group's request gets the next free slot.
 //
-// Owns: the queues, the slots in use and each group's decayed usage. Invariant: at most the
-// configured number of slots are in use; a free slot never stays idle while an admissible request
-// waits; a request is answered once: started, refused on arrival, or expired. Pure. Thread: its
-// host's.
+// Owns: the queues, the slots in use and the decayed usage of each group. Invariant: no more slots
+// are in use than configured; no slot stays free while a queued request may start; each request
+// has one result: started, refused on arrival, or expired. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -17,36 +16,40 @@
 
 namespace valvekeel::pool {
 
-/// Number of a request within one admission queue.
+/// Number of a request, unique within one `Admission`.
 using Ticket = std::uint64_t;
 
-/// Weight and limits of a group; see docs/operators/sharing.md.
+/// Weight and slot limits of a group; see docs/operators/sharing.md.
 struct GroupShare {
   double share = 1.0;
-  std::uint32_t minimum = 0;  // slots it gets first while it has work
-  std::uint32_t maximum = 0;  // slots it may hold, 0 for no limit
+  std::uint32_t minimum = 0;  // slots it gets ahead of other groups while it has requests
+  std::uint32_t maximum = 0;  // slots it may use at once, 0 for no limit
 };
 
+/// Settings of the admission to one instance.
 struct AdmissionSettings {
   std::uint32_t slots = 5;
-  std::size_t queue_limit = 1000;                // requests of one group
-  common::Duration usage_half_life{10'000'000};  // after which past usage counts half
-  common::Duration burst_credit{500'000};        // slot time a quiet group may be ahead
-  common::Duration initial_service_time{1'000};  // until one was measured
+  std::size_t queue_limit = 1000;                // maximum for one group
+  common::Duration usage_half_life{10'000'000};  // time after which past usage counts half
+  common::Duration burst_credit{500'000};        // slot time a formerly idle group may be ahead
+  common::Duration initial_service_time{1'000};  // used before the first request finishes
 };
 
-enum class Verdict : std::uint8_t { kStarted, kQueued, kRefused };
+/// What happens to an arriving request.
+enum class AdmissionOutcome : std::uint8_t { kStarted, kQueued, kRefused };
 
+/// Result of an arrival, with the retry-after of a refusal.
 struct ArrivalDecision {
-  Verdict verdict = Verdict::kRefused;
-  common::Duration retry_after{0};  // of a refusal
+  AdmissionOutcome outcome = AdmissionOutcome::kRefused;
+  common::Duration retry_after{0};  // predicted wait; set only if refused
 };
 
+/// A request that arrives at the instance.
 struct Arrival {
   Ticket ticket = 0;
   std::string group;
   common::Instant deadline{0};
-  bool in_transaction = false;  // holds a connection already, so it goes first
+  bool in_transaction = false;  // already has a connection, so it goes first
 };
 
 /// Usage of one group, for reports.
@@ -59,16 +62,16 @@
   std::uint64_t refused = 0;
 };
 
-/// Weighted fair queueing by slot time, with decayed history.
+/// Weighted fair queueing by slot time; past usage decays exponentially.
 class Admission {
  public:
   explicit Admission(AdmissionSettings settings) : settings_(settings) {}
 
-  /// Sets a group's share; unknown groups have the default.
+  /// Sets a group's share; groups without one have the default `GroupShare`.
   void SetShare(const std::string& group, GroupShare share);
   void SetSlots(std::uint32_t slots) { settings_.slots = slots; }
 
-  /// Takes a request. A refused one is forgotten.
+  /// Starts, queues or refuses a request. Nothing is kept of a refused one but its count.
   ArrivalDecision Arrive(const Arrival& arrival, common::Instant now);
 
   /// Frees the slot of a started request. @return the requests that start now.
@@ -77,7 +80,7 @@
   /// Removes queued requests whose deadline has passed. @return their tickets.
   std::vector<Ticket> Expire(common::Instant now);
 
-  /// Removes a queued request whose caller is gone.
+  /// Removes a queued request, for example because its caller disconnected.
   void Withdraw(Ticket ticket);
 
   /// @return how long a request of the group arriving now would wait for a slot.
@@ -115,7 +118,7 @@
   std::deque<Arrival> transactions_;  // queued statements of open transactions
   std::map<Ticket, RunningRequest> running_;
   common::Instant decayed_at_{0};
-  double service_time_us_ = 0;  // smoothed, 0 until measured
+  double service_time_us_ = 0;  // exponential moving average, 0 before the first request finishes
 };
 
 }  // namespace valvekeel::pool
--- a/src/pool/instance_pool.cc
+++ b/src/pool/instance_pool.cc
@@ -34,7 +34,7 @@
 using runtime::Log;
 using runtime::LogLevel;
 
-constexpr Duration kReconnectPause{50'000};
+constexpr Duration kReconnectInterval{50'000};
 constexpr Duration kDefaultRetryAfter{100'000};
 constexpr Duration kPositionPollInterval{5'000};
 
@@ -87,7 +87,7 @@
       settings_(std::move(settings)),
       on_topology_(std::move(on_topology)),
       admission_(AdmissionSettings{}),
-      monitor_pause_(std::make_shared<Waiter>(loop)) {}
+      monitor_wait_(std::make_shared<Waiter>(loop)) {}
 
 InstancePool::~InstancePool() = default;
 
@@ -124,7 +124,7 @@
   connections_.clear();
   idle_.clear();
   pinned_.clear();
-  Wake(monitor_pause_, true);
+  Wake(monitor_wait_, true);
   for (const auto& [peer, waiter] : confirmers_) {
     Wake(waiter, true);
   }
@@ -168,7 +168,7 @@
     const auto failure = co_await connection->Open(settings_.connect_timeout);
     if (failure) {
       OnInstanceLost();
-      co_await WaitOn(std::make_shared<Waiter>(loop_), kReconnectPause);
+      co_await WaitOn(std::make_shared<Waiter>(loop_), kReconnectInterval);
       continue;
     }
     while (!stopped_) {
@@ -179,16 +179,16 @@
       }
       Observe(ValueOf(probed));
       ExpireIdleTransactions(SteadyNow());
-      monitor_pause_ = std::make_shared<Waiter>(loop_);
-      const Duration pause =
+      monitor_wait_ = std::make_shared<Waiter>(loop_);
+      const Duration interval =
           waiting_positions_.empty() ? settings_.probe_interval : kPositionPollInterval;
-      co_await WaitOn(monitor_pause_, pause);
-      // Answers to statements carry the same observation, so a busy instance needs few probes.
+      co_await WaitOn(monitor_wait_, interval);
+      // Replies to batches carry the same observation, so a busy instance needs few probes.
       while (!stopped_ && waiting_positions_.empty() &&
              SteadyNow() - observed_at_ < settings_.probe_interval) {
         ExpireIdleTransactions(SteadyNow());
-        monitor_pause_ = std::make_shared<Waiter>(loop_);
-        co_await WaitOn(monitor_pause_, observed_at_ + settings_.probe_interval - SteadyNow());
+        monitor_wait_ = std::make_shared<Waiter>(loop_);
+        co_await WaitOn(monitor_wait_, observed_at_ + settings_.probe_interval - SteadyNow());
       }
     }
   }
@@ -196,15 +196,15 @@
 
 awaitable<common::Result<monitor::Observation, backend::ConnectionError>> InstancePool::ProbeInTime(
     ConnectionPointer connection) {
-  const auto waiting = std::make_shared<bool>(true);
+  const auto pending = std::make_shared<bool>(true);
   asio::steady_timer limit(loop_, settings_.probe_timeout);
-  limit.async_wait([waiting, connection](const asio::error_code& error) {
-    if (!error && *waiting) {
+  limit.async_wait([pending, connection](const asio::error_code& error) {
+    if (!error && *pending) {
       connection->Abort();
     }
   });
   auto probed = co_await connection->Probe();
-  *waiting = false;
+  *pending = false;
   co_return probed;
 }
 
@@ -238,7 +238,7 @@
 void InstancePool::OnInstanceLost() {
   if (reachable_) {
     Log(LogLevel::kWarning, "instance_lost", {{"database", database_}, {"instance", spec_.id}});
-    // An instance that does not answer its probe will not answer its statements either.
+    // An instance that does not answer a probe does not answer statements either.
     for (const ConnectionPointer& connection : connections_) {
       connection->Abort();
     }
@@ -287,15 +287,15 @@
 
 awaitable<BatchReply> InstancePool::ExecuteAdmitted(SessionKey session, const BatchRequest& request,
                                                     Instant deadline) {
-  const auto held = pinned_.find(session);
+  const auto open_transaction = pinned_.find(session);
   if (request.continues) {
-    if (held == pinned_.end()) {
+    if (open_transaction == pinned_.end()) {
       co_return Refuse(request, Refusal::kTransactionLost,
                        "the transaction's connection is gone; it was rolled back");
     }
-    held->second.busy = true;
+    open_transaction->second.busy = true;
   } else {
-    if (held != pinned_.end()) {
+    if (open_transaction != pinned_.end()) {
       Release(session);
     }
     co_await WaitForFirstProbe(deadline);
@@ -317,9 +317,9 @@
   const Ticket ticket = next_ticket_++;
   auto refusal = co_await WaitForSlot(request, ticket, deadline);
   if (refusal) {
-    const auto kept = pinned_.find(session);
-    if (kept != pinned_.end()) {
-      kept->second.busy = false;
+    const auto waiting_transaction = pinned_.find(session);
+    if (waiting_transaction != pinned_.end()) {
+      waiting_transaction->second.busy = false;
     }
     co_return std::move(*refusal);
   }
@@ -334,25 +334,25 @@
     pinned = &current->second;
     connection = pinned->connection;
   } else {
-    auto obtained = co_await AcquireConnection(deadline);
-    if (!IsOk(obtained)) {
+    auto acquired = co_await AcquireConnection(deadline);
+    if (!IsOk(acquired)) {
       FinishTicket(ticket);
-      BatchReply refusal = ErrorOf(obtained);
+      BatchReply refusal = ErrorOf(acquired);
       refusal.number = request.number;
       co_return refusal;
     }
-    connection = ValueOf(obtained);
+    connection = ValueOf(acquired);
   }
   running_[session] = {connection, false};
   bool recorded = pinned != nullptr && pinned->recorded;
-  RecordingResult facts;
-  BatchReply reply = co_await RunOn(connection, request, pinned, &facts);
+  RecordingResult recording;
+  BatchReply reply = co_await RunOn(connection, request, pinned, &recording);
   const bool released = running_[session].released;
   running_.erase(session);
-  recorded = recorded || facts.recorded;
+  recorded = recorded || recording.recorded;
   FinishTicket(ticket);
-  const bool abandoned = released && connection->Status() != wire::TransactionStatus::kIdle;
-  if (reply.outcome == Outcome::kUnknown || abandoned || !connection->Usable()) {
+  const bool released_open = released && connection->Status() != wire::TransactionStatus::kIdle;
+  if (reply.outcome == Outcome::kUnknown || released_open || !connection->Usable()) {
     pinned_.erase(session);
     Discard(connection);
     co_return reply;
@@ -360,7 +360,7 @@
   reply.status = connection->Status();
   if (reply.status != wire::TransactionStatus::kIdle) {
     PinConnection(session, connection, recorded);
-    if (facts.already_recorded) {
+    if (recording.already_recorded) {
       co_return co_await ConfirmReply(request, std::move(reply), true, deadline);
     }
     co_return reply;
@@ -368,7 +368,8 @@
   pinned_.erase(session);
   ReturnConnection(connection);
   if (request.access == Access::kWrite && reply.outcome == Outcome::kDone) {
-    co_return co_await ConfirmReply(request, std::move(reply), facts.already_recorded, deadline);
+    co_return co_await ConfirmReply(request, std::move(reply), recording.already_recorded,
+                                    deadline);
   }
   co_return reply;
 }
@@ -379,7 +380,7 @@
     co_return reply;
   }
   if (already_recorded) {
-    // The record that was met may itself be one that no majority holds.
+    // The existing record may itself be on no majority, so its commit must be confirmed first.
     const auto position = co_await CurrentPosition(deadline);
     if (!position) {
       co_return Unknown(request, "the earlier record of the request could not be confirmed");
@@ -387,14 +388,14 @@
     reply.position = *position;
   }
   if (reply.position == common::Position{}) {
-    co_return reply;  // the batch failed and was rolled back, so there is nothing to confirm
+    co_return reply;  // the batch was rolled back: nothing to confirm
   }
-  const auto verdict = co_await Confirm(reply.position, true, settings_.confirm_timeout);
-  if (verdict != confirmation::ConfirmationResult::kConfirmed) {
-    const char* why = verdict == confirmation::ConfirmationResult::kSuperseded
-                          ? "the primary was replaced before its commit was confirmed"
-                          : "no majority confirmed the commit in time";
-    co_return Unknown(request, why);
+  const auto result = co_await Confirm(reply.position, true, settings_.confirm_timeout);
+  if (result != confirmation::ConfirmationResult::kConfirmed) {
+    const char* reason = result == confirmation::ConfirmationResult::kSuperseded
+                             ? "the primary was replaced before its commit was confirmed"
+                             : "no majority confirmed the commit in time";
+    co_return Unknown(request, reason);
   }
   ++counters_.confirmed;
   co_return reply;
@@ -430,7 +431,7 @@
     }
     auto waiter = std::make_shared<Waiter>(loop_);
     waiting_positions_.push_back(waiter);
-    Wake(monitor_pause_, false);
+    Wake(monitor_wait_, false);
     co_await WaitOn(waiter, limit - SteadyNow());
     waiting_positions_.remove(waiter);
     if (waiter->failed) {
@@ -444,10 +445,10 @@
                                                                Ticket ticket, Instant deadline) {
   const Arrival arrival{ticket, request.share_group, deadline, request.continues};
   const ArrivalDecision decision = admission_.Arrive(arrival, SteadyNow());
-  if (decision.verdict == Verdict::kStarted) {
+  if (decision.outcome == AdmissionOutcome::kStarted) {
     co_return std::nullopt;
   }
-  if (decision.verdict == Verdict::kRefused) {
+  if (decision.outcome == AdmissionOutcome::kRefused) {
     co_return Refuse(request, Refusal::kOverloaded, "no slot is free before the deadline",
                      decision.retry_after);
   }
@@ -474,7 +475,7 @@
 
 awaitable<common::Result<InstancePool::ConnectionPointer, BatchReply>>
 InstancePool::AcquireConnection(Instant deadline) {
-  const BatchRequest unnamed;
+  const BatchRequest unnumbered;
   while (SteadyNow() < deadline && !stopped_) {
     while (!idle_.empty()) {
       const ConnectionPointer connection = idle_.back();
@@ -484,9 +485,9 @@
       }
       Discard(connection);
     }
-    const std::size_t most = std::max<std::size_t>(
+    const std::size_t max_connections = std::max<std::size_t>(
         1, spec_.connections - std::min(spec_.connections - 1, settings_.reserved_connections));
-    if (connections_.size() < most && opening_ < settings_.openings_at_once) {
+    if (connections_.size() < max_connections && opening_ < settings_.openings_at_once) {
       const ConnectionPointer connection = NewConnection();
       connections_.insert(connection);
       ++opening_;
@@ -498,7 +499,7 @@
       }
       Discard(connection);
       const bool full = failure->fault == ConnectionFault::kTooMany;
-      co_return Refuse(unnamed, full ? Refusal::kOverloaded : Refusal::kUnreachable,
+      co_return Refuse(unnumbered, full ? Refusal::kOverloaded : Refusal::kUnreachable,
                        failure->message);
     }
     auto waiter = std::make_shared<Waiter>(loop_);
@@ -506,15 +507,16 @@
     co_await WaitOn(waiter, deadline - SteadyNow());
     waiting_connections_.remove(waiter);
   }
-  co_return Refuse(unnamed, Refusal::kOverloaded, "no connection became free before the deadline");
+  co_return Refuse(unnumbered, Refusal::kOverloaded,
+                   "no connection became free before the deadline");
 }
 
 awaitable<void> InstancePool::EnsureRequestTable(Instant deadline) {
-  auto obtained = co_await AcquireConnection(deadline);
-  if (!IsOk(obtained)) {
-    co_return;  // the batch itself will find out
+  auto acquired = co_await AcquireConnection(deadline);
+  if (!IsOk(acquired)) {
+    co_return;  // the batch's own attempt reports the error
   }
-  const ConnectionPointer connection = ValueOf(obtained);
+  const ConnectionPointer connection = ValueOf(acquired);
   const Statement create = TextStatement(absl::StrCat(
       "CREATE TABLE IF NOT EXISTS ", common::ToAbsl(kRequestTable), " (id text PRIMARY KEY)"));
   std::vector<Command> commands = {{&create, true}};
@@ -548,7 +550,7 @@
 
 awaitable<std::optional<BatchReply>> InstancePool::ApplySettings(ConnectionPointer connection,
                                                                  const BatchRequest& request) {
-  // In a run of their own: a setting that the database refuses must keep the batch from running.
+  // Settings run before the batch: if the database rejects one, the batch must not run.
   connection->applied_settings.reset();
   const std::vector<Statement> statements = SettingsStatements(request.settings);
   std::vector<Command> commands;
@@ -575,7 +577,7 @@
 }
 
 awaitable<BatchReply> InstancePool::RunOn(ConnectionPointer connection, const BatchRequest& request,
-                                          PinnedTransaction* pinned, RecordingResult* facts) {
+                                          PinnedTransaction* pinned, RecordingResult* recording) {
   const bool in_transaction = pinned != nullptr;
   const bool check = !in_transaction && settings_.check_positions &&
                      request.access == Access::kRead &&
@@ -588,7 +590,7 @@
     }
   }
   const RunPlan plan = BuildRunPlan(request, {in_transaction, check, record});
-  facts->recorded = record;
+  recording->recorded = record;
   const bool usable = connection->Usable();
   auto run = co_await connection->Run(plan.commands, true);
   if (!IsOk(run)) {
@@ -604,41 +606,41 @@
   BatchReply reply;
   reply.number = request.number;
   reply.outcome = Outcome::kDone;
-  const auto after = backend::ReadObservation(results[plan.after]);
+  const auto after = backend::ReadObservation(results[plan.final_probe]);
   if (after) {
     reply.position = {after->term, after->replayed};
     reply.replayed = reply.position;
     connection->seen_replayed = reply.position;
     ObserveInBand(*after);
   }
-  if (plan.check) {
-    const auto before = backend::ReadObservation(results[*plan.check]);
+  if (plan.position_check) {
+    const auto before = backend::ReadObservation(results[*plan.position_check]);
     if (!before || !common::Covers({before->term, before->replayed}, request.required)) {
-      // The rows read are dropped unseen, so for the caller the read did not run.
+      // The rows are discarded, so for the caller the read did not run.
       BatchReply refusal = Refuse(request, Refusal::kBehind, "the replica is behind");
       refusal.replayed = reply.replayed;
       co_return refusal;
     }
   }
-  for (const std::size_t place : plan.caller) {
-    reply.answers.push_back(std::move(results[place].answer));
+  for (const std::size_t index : plan.caller_statements) {
+    reply.answers.push_back(std::move(results[index].answer));
   }
-  if (plan.record && results[*plan.record].answer.error) {
-    const wire::ErrorFields& error = *results[*plan.record].answer.error;
+  if (plan.request_record && results[*plan.request_record].answer.error) {
+    const wire::ErrorFields& error = *results[*plan.request_record].answer.error;
     StatementAnswer answer;
     answer.error = error;
     reply.answers.assign(request.statements.size(), {});
-    facts->already_recorded = error.sqlstate == common::kUniqueViolation;
-    reply.answers[0] = facts->already_recorded ? AlreadyRecorded(request.request_id) : answer;
+    recording->already_recorded = error.sqlstate == common::kUniqueViolation;
+    reply.answers[0] = recording->already_recorded ? AlreadyRecorded(request.request_id) : answer;
   }
-  if (plan.commit && AnyError(reply.answers)) {
-    // The added transaction failed and its COMMIT was skipped; it ends here.
+  if (plan.added_commit && AnyError(reply.answers)) {
+    // The added transaction failed, so its COMMIT was skipped and it must be rolled back.
     const Statement rollback = TextStatement("ROLLBACK");
-    std::vector<Command> ending = {{&rollback, true}};
-    co_await connection->Run(std::move(ending), false);
+    std::vector<Command> commands = {{&rollback, true}};
+    co_await connection->Run(std::move(commands), false);
   }
-  if (plan.commit && !AnyError(reply.answers) && results[*plan.commit].answer.error) {
-    reply.answers.back().error = results[*plan.commit].answer.error;
+  if (plan.added_commit && !AnyError(reply.answers) && results[*plan.added_commit].answer.error) {
+    reply.answers.back().error = results[*plan.added_commit].answer.error;
   }
   if (!after && request.access == Access::kWrite && !AnyError(reply.answers) &&
       connection->Status() == wire::TransactionStatus::kIdle) {
--- a/src/pool/instance_pool.h
+++ b/src/pool/instance_pool.h
@@ -1,9 +1,11 @@
-// The owner of one instance's connections: admission, execution, monitoring, confirmation.
+// Pool of one instance's connections: admits and runs batches, monitors the instance and confirms
+// commits.
 //
-// Owns: every connection this daemon has to the instance, the sessions' open transactions on them,
+// Owns: every connection of this daemon to the instance, the sessions' open transactions on them,
 // and the monitor's observations. Invariant: a connection belongs to one session from the start of
 // a transaction until it is idle again; a batch is refused as not run only before its first byte
-// went out; no commit is answered as done before a majority confirmed it. Thread: the event loop's.
+// is sent, or if it is a read whose rows are discarded; no commit is reported as done before a
+// majority has confirmed it. Not thread-safe: runs on the event loop's thread.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -34,17 +36,17 @@
   common::Duration probe_timeout{1'000'000};
   common::Duration connect_timeout{2'000'000};
   common::Duration confirm_timeout{3'000'000};
-  common::Duration confirm_pause{500};  // between probes while a replica is behind
+  common::Duration confirm_probe_interval{500};  // between probes of a replica that is behind
   common::Duration idle_transaction_timeout{60'000'000};
   std::uint32_t openings_at_once = 4;
   std::uint32_t reserved_connections = 4;  // for probes, confirmations and other owners
   std::size_t largest_answer_bytes = std::size_t{64} << 20U;
   std::string user = "valvekeel";
-  bool confirm_commits = true;  // switched off by tests only
-  bool check_positions = true;  // switched off by tests and baselines only
+  bool confirm_commits = true;  // false only in tests
+  bool check_positions = true;  // false only in tests and baselines
 };
 
-/// Counters for metrics and reports.
+/// Counters for metrics and reports, since the start of the pool.
 struct PoolCounters {
   std::uint64_t batches = 0;
   std::uint64_t reads_served = 0;
@@ -57,7 +59,7 @@
   std::uint64_t behind = 0;
 };
 
-/// Who holds an open transaction: a session of a gateway's incarnation.
+/// Identifies a session across gateways and their incarnations.
 struct SessionKey {
   cluster::MemberId gateway;
   std::uint64_t incarnation = 0;
@@ -66,10 +68,11 @@
   auto operator<=>(const SessionKey&) const = default;
 };
 
-/// Reported when the monitor sees a change of role or term, or loses the instance.
+/// Called when a probe shows another role or term, or the instance is reachable again.
 using TopologyHandler = std::function<void(const std::string& database, const std::string& instance,
                                            const monitor::Observation& observation)>;
 
+/// Runs batches on one instance; see the file comment.
 class InstancePool : public std::enable_shared_from_this<InstancePool> {
  public:
   InstancePool(asio::io_context& loop, PoolSettings settings, TopologyHandler on_topology);
@@ -80,35 +83,35 @@
   /// Starts monitoring. @param instance id within the database group.
   void Start(const configuration::DatabaseSpec& database, const std::string& instance);
 
-  /// Takes changed specifications.
+  /// Applies changed specifications.
   void Configure(const configuration::DatabaseSpec& database);
   void SetShare(const configuration::ShareGroupSpec& group);
 
-  /// Tells the highest term known for the database group; an instance of an earlier one is stale.
+  /// Sets the highest known term of the database group; an instance of an earlier term is refused.
   void SetKnownTerm(common::Term term) { known_term_ = std::max(known_term_, term); }
 
-  /// Runs a batch for a session.
+  /// Runs a batch for a session and, for a write, waits until its commit is confirmed.
   asio::awaitable<BatchReply> Execute(SessionKey session, BatchRequest request);
 
   /// @return a position that covers every write acknowledged before the call.
   asio::awaitable<BarrierReply> Barrier(BarrierRequest request);
 
-  /// Rolls back what a session left open.
+  /// Rolls back the open transaction of a session, if any.
   void Release(const SessionKey& session);
 
-  /// Rolls back what all sessions of a gateway left open.
+  /// Rolls back the open transactions of all sessions of a gateway.
   void ReleaseGateway(const cluster::MemberId& gateway);
 
-  /// @return true if the session's transaction is open here.
+  /// @return true if a transaction of the session is open on this pool.
   bool HasOpenTransaction(const SessionKey& session) const { return pinned_.contains(session); }
 
   /// Cancels the statement that the session is running.
   void Cancel(const SessionKey& session);
 
-  /// Takes no new work; open transactions go on.
+  /// Refuses new work; open transactions go on.
   void Drain() { draining_ = true; }
 
-  /// Closes everything.
+  /// Closes all connections and ends all waits.
   void Stop();
 
   /// @return number of batches and open transactions in progress.
@@ -125,13 +128,13 @@
   using ConnectionPointer = std::shared_ptr<backend::Connection>;
   struct PinnedTransaction {
     ConnectionPointer connection;
-    bool recorded = false;  // its request id is in the transaction
+    bool recorded = false;  // its request id is recorded in the transaction
     bool busy = false;
     common::Instant last_used{0};
   };
   struct RunningBatch {
     ConnectionPointer connection;
-    bool released = false;  // its caller is gone; roll back when the batch ends
+    bool released = false;  // released while running; rolled back when the batch ends
   };
   struct Waiter {
     explicit Waiter(asio::io_context& loop) : timer(loop) {}
@@ -155,13 +158,13 @@
   asio::awaitable<std::optional<BatchReply>> ApplySettings(ConnectionPointer connection,
                                                            const BatchRequest& request);
   asio::awaitable<void> EnsureRequestTable(common::Instant deadline);
-  /// What a run did beside its reply.
+  /// What a run did with the request id.
   struct RecordingResult {
-    bool recorded = false;          // the request id went into the transaction
-    bool already_recorded = false;  // the request id was there before
+    bool recorded = false;          // the run inserted the request id
+    bool already_recorded = false;  // the request id was recorded before the run
   };
   asio::awaitable<BatchReply> RunOn(ConnectionPointer connection, const BatchRequest& request,
-                                    PinnedTransaction* pinned, RecordingResult* facts);
+                                    PinnedTransaction* pinned, RecordingResult* recording);
   asio::awaitable<std::optional<common::Position>> CurrentPosition(common::Instant deadline);
   asio::awaitable<BatchReply> ConfirmReply(const BatchRequest& request, BatchReply reply,
                                            bool already_recorded, common::Instant deadline);
@@ -202,7 +205,7 @@
   Ticket next_ticket_ = 1;
   std::map<Ticket, WaiterPointer> waiting_tickets_;
 
-  std::set<ConnectionPointer> connections_;  // all, whatever they do
+  std::set<ConnectionPointer> connections_;  // idle, in use or opening
   std::vector<ConnectionPointer> idle_;
   std::list<WaiterPointer> waiting_connections_;
   std::uint32_t opening_ = 0;
@@ -212,17 +215,18 @@
 
   monitor::ReplayPredictor replay_;
   std::list<WaiterPointer> waiting_positions_;
-  WaiterPointer monitor_pause_;
+  WaiterPointer monitor_wait_;
   bool reachable_ = false;
   common::Instant observed_at_{0};
-  bool probed_ = false;  // the first probe has ended, whatever its result
+  bool probed_ = false;  // the first probe has succeeded or failed
   common::Term known_term_ = 0;
 
   confirmation::MajorityConfirmation confirmation_{1};
   confirmation::PendingNumber next_pending_ = 1;
   std::map<confirmation::PendingNumber, std::pair<WaiterPointer, confirmation::ConfirmationResult>>
       confirming_;
-  std::map<std::string, WaiterPointer> confirmers_;  // by peer instance; wakes its coroutine
+  std::map<std::string, WaiterPointer>
+      confirmers_;  // by peer instance; waking one runs its coroutine
 };
 
 }  // namespace valvekeel::pool
--- a/src/pool/instance_pool_commit.cc
+++ b/src/pool/instance_pool_commit.cc
@@ -1,4 +1,5 @@
-// Open transactions and confirmation of commits; the rest of the pool is in instance_pool.cc.
+// Handles open transactions and the confirmation of commits; instance_pool.cc has the other parts
+// of the pool.
 
 #include <algorithm>
 #include <array>
@@ -23,8 +24,8 @@
 using common::SteadyNow;
 using common::ValueOf;
 
-constexpr Duration kReconnectPause{50'000};
-constexpr Duration kLongestWait{3'600'000'000};
+constexpr Duration kReconnectInterval{50'000};
+constexpr Duration kMaxConfirmerWait{3'600'000'000};
 constexpr std::size_t kCancelMessageBytes = 256;
 
 }  // namespace
@@ -43,32 +44,32 @@
 void InstancePool::Release(const SessionKey& session) {
   const auto running = running_.find(session);
   if (running != running_.end()) {
-    running->second.released = true;  // rolled back when the batch ends
+    running->second.released = true;  // ExecuteAdmitted discards the connection when the batch ends
     return;
   }
   const auto found = pinned_.find(session);
   if (found == pinned_.end()) {
     return;
   }
-  // Closing the connection makes the database roll back; no state can leak to the next session.
+  // The database rolls back when the connection closes; no state can leak to the next session.
   const ConnectionPointer connection = found->second.connection;
   pinned_.erase(found);
   Discard(connection);
 }
 
 void InstancePool::ReleaseGateway(const cluster::MemberId& gateway) {
-  std::vector<SessionKey> gone;
+  std::vector<SessionKey> sessions;
   for (const auto& [session, pinned] : pinned_) {
     if (session.gateway == gateway) {
-      gone.push_back(session);
+      sessions.push_back(session);
     }
   }
   for (const auto& [session, running] : running_) {
     if (session.gateway == gateway) {
-      gone.push_back(session);
+      sessions.push_back(session);
     }
   }
-  for (const SessionKey& session : gone) {
+  for (const SessionKey& session : sessions) {
     Release(session);
   }
 }
@@ -90,7 +91,7 @@
   if (found == running_.end()) {
     return;
   }
-  // PQcancel blocks while it connects, so it runs on a thread of its own.
+  // PQcancel blocks while it connects, so it runs on a separate thread.
   auto handle = std::make_shared<std::unique_ptr<PGcancel, void (*)(PGcancel*)>>(
       found->second.connection->CancelHandle());
   std::thread([handle] {
@@ -128,7 +129,7 @@
     CompleteConfirmations(confirmation_.Expire(SteadyNow()));
     if (!confirmation_.NeedsProbe(peer)) {
       confirmers_[peer] = std::make_shared<Waiter>(loop_);
-      co_await WaitOn(confirmers_[peer], kLongestWait);
+      co_await WaitOn(confirmers_[peer], kMaxConfirmerWait);
       continue;
     }
     if (connection == nullptr || !connection->Usable()) {
@@ -136,7 +137,7 @@
       const auto failure = co_await connection->Open(settings_.connect_timeout);
       if (failure) {
         connection = nullptr;
-        co_await WaitOn(std::make_shared<Waiter>(loop_), kReconnectPause);
+        co_await WaitOn(std::make_shared<Waiter>(loop_), kReconnectInterval);
       }
       continue;
     }
@@ -148,12 +149,13 @@
     }
     const monitor::Observation& answer = ValueOf(answered);
     if (!answer.in_recovery && answer.term > known_term_ && on_topology_) {
-      // The new primary itself; no need to wait for its own owner's next probe.
+      // The peer is the new primary: report it now, without waiting for the next probe of its
+      // own pool.
       on_topology_(database_, peer, answer);
     }
     CompleteConfirmations(confirmation_.OnProbeAnswer(probe, {answer.term, answer.received}));
     if (confirmation_.NeedsProbe(peer)) {
-      co_await WaitOn(std::make_shared<Waiter>(loop_), settings_.confirm_pause);
+      co_await WaitOn(std::make_shared<Waiter>(loop_), settings_.confirm_probe_interval);
     }
   }
 }
@@ -183,17 +185,17 @@
   }
   co_await WaitOn(waiter, limit);
   CompleteConfirmations(confirmation_.Expire(SteadyNow()));
-  const confirmation::ConfirmationResult verdict = confirming_[number].second;
+  const confirmation::ConfirmationResult result = confirming_[number].second;
   confirming_.erase(number);
-  co_return verdict;
+  co_return result;
 }
 
 awaitable<std::optional<common::Position>> InstancePool::CurrentPosition(Instant deadline) {
-  auto obtained = co_await AcquireConnection(deadline);
-  if (!IsOk(obtained)) {
+  auto acquired = co_await AcquireConnection(deadline);
+  if (!IsOk(acquired)) {
     co_return std::nullopt;
   }
-  const ConnectionPointer connection = ValueOf(obtained);
+  const ConnectionPointer connection = ValueOf(acquired);
   const auto probed = co_await ProbeInTime(connection);
   if (!IsOk(probed)) {
     Discard(connection);
@@ -219,9 +221,9 @@
     co_return reply;
   }
   reply.position = *position;
-  const auto verdict = co_await Confirm(
+  const auto result = co_await Confirm(
       reply.position, false, std::min(settings_.confirm_timeout, Duration{request.budget_us}));
-  reply.confirmed = verdict == confirmation::ConfirmationResult::kConfirmed;
+  reply.confirmed = result == confirmation::ConfirmationResult::kConfirmed;
   reply.reason = reply.confirmed ? "" : "no majority confirmed the primary's term";
   co_return reply;
 }
--- a/src/pool/protocol.h
+++ b/src/pool/protocol.h
@@ -1,7 +1,8 @@
-// What gateways ask of pool owners and what they answer.
+// Messages between gateways and the owners of instance pools, and their JSON encoding.
 //
-// Owns: the typed requests and replies and their encoding. Invariant: a reply names the request it
-// answers; kRefused means that no byte of the request went to a database connection. Thread: any.
+// Invariant: a reply carries the number of its request; kRefused means that no byte of the
+// caller's statements was sent on a database connection, or that the rows of a read were discarded.
+// No I/O and no clock; may be used on any thread.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +31,7 @@
   std::vector<wire::WireValue> parameters;
   std::vector<wire::FormatCode> parameter_formats;
   wire::FormatCode result_format = wire::kTextFormat;
-  bool describe_only = false;  // return parameter types and columns, do not run
+  bool describe_only = false;  // return parameter types and columns without running it
 };
 
 /// A setting of the caller's session, applied before its statements run.
@@ -43,11 +44,11 @@
 
 /// What the statements of a batch may do.
 enum class Access : std::uint8_t {
-  kRead,   // nothing but reads; any instance that is fresh enough serves it
-  kWrite,  // the primary only; its commit is confirmed before the answer
+  kRead,   // reads only; any instance that has replayed the position can serve it
+  kWrite,  // primary only; the commit is confirmed before the reply
 };
 
-/// Statements up to one Sync, run on one connection.
+/// Statements up to one Sync message, run on one connection.
 struct BatchRequest {
   RequestNumber number = 0;
   std::string database;
@@ -55,9 +56,9 @@
   std::string share_group;
   SessionNumber session = 0;
   Access access = Access::kWrite;
-  bool continues = false;             // on the connection where the session's transaction is open
-  std::int64_t budget_us = 0;         // microseconds until it must have started
-  common::Position required;          // what the instance must have replayed
+  bool continues = false;             // runs on the connection of the session's open transaction
+  std::int64_t budget_us = 0;         // microseconds within which it must start
+  common::Position required;          // position that the instance must have replayed
   std::int64_t read_wait_us = 0;      // longest wait for the position, microseconds
   std::int64_t max_staleness_us = 0;  // longest replay lag accepted, microseconds, 0 for any
   bool opens_transaction = false;     // the first statement is BEGIN
@@ -67,31 +68,34 @@
   std::vector<Statement> statements;
 };
 
-/// One statement's answer, as bytes of the caller's protocol.
+/// One statement's answer, encoded in the caller's wire protocol.
 struct StatementAnswer {
-  std::string description;  // RowDescription or ParameterDescription and it; may be empty
-  std::string rows;         // DataRow messages and CommandComplete
+  std::string
+      description;   // RowDescription, or ParameterDescription and RowDescription; may be empty
+  std::string rows;  // DataRow messages and CommandComplete
   std::optional<wire::ErrorFields> error;
 };
 
+/// What is known about the execution of a batch.
 enum class Outcome : std::uint8_t {
-  kDone,     // ran; the answers say how it went
-  kRefused,  // certainly did not run
-  kUnknown,  // may have run; never sent again unless it only reads
+  kDone,     // ran; the answers hold the results and errors
+  kRefused,  // did not run
+  kUnknown,  // may have run; retried only if it only reads
 };
 
-/// Why a batch was refused, as far as the gateway acts on it.
+/// Why a batch was refused; the gateway acts on it.
 enum class Refusal : std::uint8_t {
   kNone,
   kOverloaded,       // no capacity before its deadline
   kUnreachable,      // the instance cannot be reached
-  kNotPrimary,       // the instance does not take writes
-  kBehind,           // the instance has not replayed the position and will not in time
-  kLeaving,          // the instance takes no new work
-  kTransactionLost,  // the session's open transaction is gone, rolled back
+  kNotPrimary,       // the instance does not accept writes
+  kBehind,           // the instance will not replay the position in time
+  kLeaving,          // the instance is being removed and accepts no new work
+  kTransactionLost,  // the session's open transaction was rolled back
   kStopping,         // the owner is stopping
 };
 
+/// Reply to a BatchRequest.
 struct BatchReply {
   RequestNumber number = 0;
   Outcome outcome = Outcome::kRefused;
@@ -101,7 +105,7 @@
   std::vector<StatementAnswer> answers;
   wire::TransactionStatus status = wire::TransactionStatus::kIdle;
   common::Position position;  // of the data read, or of the confirmed commit
-  common::Position replayed;  // hint: what the instance has replayed
+  common::Position replayed;  // hint: position that the instance has replayed
 };
 
 /// Asks the primary's owner for a position that covers every write acknowledged so far.
@@ -112,6 +116,7 @@
   std::int64_t budget_us = 0;
 };
 
+/// Reply to a BarrierRequest; the position is valid only if confirmed.
 struct BarrierReply {
   RequestNumber number = 0;
   bool confirmed = false;
@@ -119,7 +124,7 @@
   common::Position position;
 };
 
-/// Ends a session's open transaction: its caller is gone.
+/// Rolls back a session's open transaction after its caller has disconnected.
 struct ReleaseRequest {
   std::string database;
   std::string instance;
@@ -136,11 +141,12 @@
 using PoolMessage = std::variant<BatchRequest, BatchReply, BarrierRequest, BarrierReply,
                                  ReleaseRequest, CancelStatementRequest>;
 
-/// Why bytes from a peer are not a message.
+/// Why a JSON value from a peer is not a valid message.
 struct MessageError {
   std::string reason;
 };
 
+/// @return the message as an array of its type's index and its fields.
 nlohmann::json ToJson(const PoolMessage& message);
 common::Result<PoolMessage, MessageError> FromJson(const nlohmann::json& value);
 
--- a/src/pool/run_plan.cc
+++ b/src/pool/run_plan.cc
@@ -9,7 +9,7 @@
 namespace valvekeel::pool {
 namespace {
 
-constexpr std::size_t kMostInternal = 3;  // BEGIN, the request id, COMMIT
+constexpr std::size_t kMaxInternalStatements = 3;  // BEGIN, the request id, COMMIT
 
 Statement RecordRequestStatement(const std::string& request_id) {
   Statement statement = TextStatement(
@@ -25,7 +25,7 @@
   return statement;
 }
 
-/// @return the place of the added command.
+/// Appends an internal statement. @return its index in `plan.commands`.
 std::size_t AddInternal(Statement statement, RunPlan& plan) {
   plan.internal.push_back(std::move(statement));
   plan.commands.push_back({&plan.internal.back(), false});
@@ -48,32 +48,33 @@
   return statements;
 }
 
-RunPlan BuildRunPlan(const BatchRequest& request, const RunPlanOptions& needs) {
+RunPlan BuildRunPlan(const BatchRequest& request, const RunPlanOptions& options) {
   RunPlan plan;
-  plan.internal.reserve(kMostInternal);
-  if (needs.check_position) {
-    plan.check = plan.commands.size();
+  plan.internal.reserve(kMaxInternalStatements);
+  if (options.check_position) {
+    plan.position_check = plan.commands.size();
     plan.commands.push_back({&backend::ProbeStatement(), true});
   }
-  const bool wrap = needs.record_request && !needs.in_transaction && !request.opens_transaction;
-  if (wrap) {
+  const bool add_transaction =
+      options.record_request && !options.in_transaction && !request.opens_transaction;
+  if (add_transaction) {
     AddInternal(TextStatement("BEGIN"), plan);
   }
-  const std::size_t record_before = request.opens_transaction ? 1 : 0;
+  const std::size_t record_index = request.opens_transaction ? 1 : 0;
   for (std::size_t i = 0; i <= request.statements.size(); ++i) {
-    if (needs.record_request && i == record_before) {
-      plan.record = AddInternal(RecordRequestStatement(request.request_id), plan);
+    if (options.record_request && i == record_index) {
+      plan.request_record = AddInternal(RecordRequestStatement(request.request_id), plan);
     }
     if (i < request.statements.size()) {
-      plan.caller.push_back(plan.commands.size());
+      plan.caller_statements.push_back(plan.commands.size());
       plan.commands.push_back({&request.statements[i], false});
     }
   }
-  if (wrap) {
-    plan.commit = AddInternal(TextStatement("COMMIT"), plan);
+  if (add_transaction) {
+    plan.added_commit = AddInternal(TextStatement("COMMIT"), plan);
   }
   plan.commands.back().sync_after = true;
-  plan.after = plan.commands.size();
+  plan.final_probe = plan.commands.size();
   plan.commands.push_back({&backend::ProbeStatement(), true});
   return plan;
 }
--- a/tests/pool/instance_pool_test.cc
+++ b/tests/pool/instance_pool_test.cc
@@ -76,15 +76,17 @@
   REQUIRE(reply.answers[0].rows.find('1') != std::string::npos);
 }
 
-TEST_CASE("A commit on a cut-off primary is never acknowledged", "[pool]") {
+TEST_CASE("A commit on a partitioned primary is never acknowledged", "[pool]") {
   PoolFixture fixture;
   REQUIRE(fixture.Write("CREATE TABLE t (id text PRIMARY KEY)").outcome == Outcome::kDone);
   fixture.group.Isolate(0, common::SteadyNow());
   REQUIRE(fixture.Write("INSERT INTO t VALUES ('lost')").outcome == Outcome::kUnknown);
 }
 
-TEST_CASE("A request recorded only on a cut-off primary is not reported as recorded", "[pool]") {
-  // Found by the demo: the retry met the unconfirmed record and was answered "recorded already".
+TEST_CASE("A request recorded only on a partitioned primary is not reported as recorded",
+          "[pool]") {
+  // Guards against a retry that finds the unconfirmed record and is answered "recorded already"
+  // although the record may be lost in a failover.
   PoolFixture fixture(std::chrono::milliseconds(5000));
   REQUIRE(fixture.Write("CREATE TABLE t (id text)").outcome == Outcome::kDone);
   BatchRequest insert = Batch({"INSERT INTO t VALUES ('entry')"}, Access::kWrite);
--- a/tests/pool/run_plan_test.cc
+++ b/tests/pool/run_plan_test.cc
@@ -5,7 +5,8 @@
 namespace valvekeel::pool {
 namespace {
 
-/// @return the texts of the plan, a "|" after each command that ends an implicit transaction.
+/// @return the first words of the plan's commands, with a "|" after each that is followed by a
+/// Sync.
 std::string Texts(const RunPlan& plan) {
   std::string texts;
   for (const backend::Command& command : plan.commands) {
@@ -26,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("A batch runs in one implicit transaction, with an observation after it", "[pool]") {
+TEST_CASE("A batch runs in one implicit transaction and is followed by a probe", "[pool]") {
   const BatchRequest request = Request({"INSERT", "UPDATE"});
   CHECK(Texts(BuildRunPlan(request, {})) == "INSERT UPDATE| SELECT| ");
   CHECK(Texts(BuildRunPlan(request, {false, true, false})) == "SELECT| INSERT UPDATE| SELECT| ");
@@ -35,9 +36,9 @@
 TEST_CASE("A request id is recorded in the transaction of its statements", "[pool]") {
   const RunPlan wrapped = BuildRunPlan(Request({"UPDATE"}), {false, false, true});
   CHECK(wrapped.commands.size() == 5);
-  CHECK(wrapped.record == 1U);
-  CHECK(wrapped.caller == std::vector<std::size_t>{2});
-  CHECK(wrapped.commit == 3U);
+  CHECK(wrapped.request_record == 1U);
+  CHECK(wrapped.caller_statements == std::vector<std::size_t>{2});
+  CHECK(wrapped.added_commit == 3U);
 
   const BatchRequest open = Request({"UPDATE"});
   CHECK(Texts(BuildRunPlan(open, {true, false, true})) == "INSERT UPDATE| SELECT| ");
