--- a/src/pool/instance_pool.cc
+++ b/src/pool/instance_pool.cc
@@ -380,7 +380,7 @@
     co_return reply;
   }
   if (already_recorded) {
-    // The existing record may itself be on no majority, so its commit must be confirmed first.
+    // The existing record of the request may not be on a majority yet, so it must be confirmed.
     const auto position = co_await CurrentPosition(deadline);
     if (!position) {
       co_return Unknown(request, "the earlier record of the request could not be confirmed");
@@ -388,7 +388,7 @@
     reply.position = *position;
   }
   if (reply.position == common::Position{}) {
-    co_return reply;  // the batch was rolled back: nothing to confirm
+    co_return reply;  // the batch failed and was rolled back: nothing to confirm
   }
   const auto result = co_await Confirm(reply.position, true, settings_.confirm_timeout);
   if (result != confirmation::ConfirmationResult::kConfirmed) {
--- a/src/pool/instance_pool.h
+++ b/src/pool/instance_pool.h
@@ -134,7 +134,7 @@
   };
   struct RunningBatch {
     ConnectionPointer connection;
-    bool released = false;  // released while running; rolled back when the batch ends
+    bool released = false;  // its caller disconnected; rolled back when the batch ends
   };
   struct Waiter {
     explicit Waiter(asio::io_context& loop) : timer(loop) {}
@@ -160,7 +160,7 @@
   asio::awaitable<void> EnsureRequestTable(common::Instant deadline);
   /// What a run did with the request id.
   struct RecordingResult {
-    bool recorded = false;          // the run inserted the request id
+    bool recorded = false;          // the run included an INSERT of the request id
     bool already_recorded = false;  // the request id was recorded before the run
   };
   asio::awaitable<BatchReply> RunOn(ConnectionPointer connection, const BatchRequest& request,
@@ -225,8 +225,7 @@
   confirmation::PendingNumber next_pending_ = 1;
   std::map<confirmation::PendingNumber, std::pair<WaiterPointer, confirmation::ConfirmationResult>>
       confirming_;
-  std::map<std::string, WaiterPointer>
-      confirmers_;  // by peer instance; waking one runs its coroutine
+  std::map<std::string, WaiterPointer> confirmers_;  // by peer instance; wakes the coroutine
 };
 
 }  // namespace valvekeel::pool
--- a/src/pool/protocol.h
+++ b/src/pool/protocol.h
@@ -70,16 +70,15 @@
 
 /// One statement's answer, encoded in the caller's wire protocol.
 struct StatementAnswer {
-  std::string
-      description;   // RowDescription, or ParameterDescription and RowDescription; may be empty
-  std::string rows;  // DataRow messages and CommandComplete
+  std::string description;  // RowDescription, after any ParameterDescription; may be empty
+  std::string rows;         // DataRow messages and CommandComplete
   std::optional<wire::ErrorFields> error;
 };
 
 /// What is known about the execution of a batch.
 enum class Outcome : std::uint8_t {
   kDone,     // ran; the answers hold the results and errors
-  kRefused,  // did not run
+  kRefused,  // did not run, or was a read whose rows were discarded
   kUnknown,  // may have run; retried only if it only reads
 };
 
@@ -90,7 +89,7 @@
   kUnreachable,      // the instance cannot be reached
   kNotPrimary,       // the instance does not accept writes
   kBehind,           // the instance will not replay the position in time
-  kLeaving,          // the instance is being removed and accepts no new work
+  kLeaving,          // the instance is leaving and accepts no new work
   kTransactionLost,  // the session's open transaction was rolled back
   kStopping,         // the owner is stopping
 };
