--- a/src/pool/instance_pool.cc
+++ b/src/pool/instance_pool.cc
@@ -351,8 +351,9 @@
   running_.erase(session);
   recorded = recorded || recording.recorded;
   FinishTicket(ticket);
-  const bool released_open = released && connection->Status() != wire::TransactionStatus::kIdle;
-  if (reply.outcome == Outcome::kUnknown || released_open || !connection->Usable()) {
+  const bool released_in_transaction =
+      released && connection->Status() != wire::TransactionStatus::kIdle;
+  if (reply.outcome == Outcome::kUnknown || released_in_transaction || !connection->Usable()) {
     pinned_.erase(session);
     Discard(connection);
     co_return reply;
