--- a/src/pool/instance_pool.h
+++ b/src/pool/instance_pool.h
@@ -111,7 +111,7 @@
   /// Refuses new work; open transactions go on.
   void Drain() { draining_ = true; }
 
-  /// Closes all connections and ends all waits.
+  /// Closes the pooled connections and stops monitoring and confirmation.
   void Stop();
 
   /// @return number of batches and open transactions in progress.
