--- a/src/backend/connection.cc
+++ b/src/backend/connection.cc
@@ -290,7 +290,7 @@
     ConnectionFault fault = timed_out ? ConnectionFault::kTimedOut : ConnectionFault::kRefused;
     if (absl::StrContains(message, "too many clients") ||
         absl::StrContains(message, "remaining connection slots")) {
-      fault = ConnectionFault::kTooMany;
+      fault = ConnectionFault::kTooManyConnections;
     }
     Close();
     co_return ConnectionError{fault, message};
--- a/src/backend/connection.h
+++ b/src/backend/connection.h
@@ -26,9 +26,9 @@
 
 /// Why a connection could not be used.
 enum class ConnectionFault : std::uint8_t {
-  kRefused,  // the instance does not answer or refuses
-  kTooMany,  // the instance has no connection left (53300)
-  kLost,     // the connection ended while in use
+  kRefused,             // the instance does not answer or refuses
+  kTooManyConnections,  // the instance has no connection left (53300)
+  kLost,                // the connection ended while in use
   kTimedOut,
 };
 
@@ -74,7 +74,7 @@
   void Abort();
 
   wire::TransactionStatus Status() const;
-  bool Usable() const { return usable_; }
+  bool IsUsable() const { return usable_; }
 
   /// @return a handle to cancel the statement in progress, to be used on another thread.
   std::unique_ptr<PGcancel, void (*)(PGcancel*)> CancelHandle() const;
@@ -84,7 +84,7 @@
       std::vector<pool::SessionSetting>{};
   // Highest position that this connection has seen replayed; positions never go back within a
   // connection, since an instance that is rebuilt closes its connections.
-  common::Position seen_replayed;
+  common::Position highest_replayed;
 
  private:
   asio::awaitable<bool> WaitReadable();
--- a/src/gateway/session.cc
+++ b/src/gateway/session.cc
@@ -491,7 +491,7 @@
     }
     // The transaction was rolled back when it was lost; its end is answered here.
     status_ = TransactionStatus::kIdle;
-    encoder_.Raw(Completed("ROLLBACK"));
+    encoder_.AppendMessages(Completed("ROLLBACK"));
     co_return;
   }
   if (pending.statements.empty()) {
@@ -553,7 +553,7 @@
 void Session::Emit(const PendingBatch& pending, const pool::BatchReply& reply, bool simple) {
   for (const OutputItem& item : pending.output) {
     if (const auto* bytes = std::get_if<std::string>(&item)) {
-      encoder_.Raw(*bytes);
+      encoder_.AppendMessages(*bytes);
       continue;
     }
     const AnswerOf& place = std::get<AnswerOf>(item);
@@ -564,13 +564,13 @@
       return;
     }
     if (place.describe) {
-      encoder_.Raw(answer.description);
+      encoder_.AppendMessages(answer.description);
       if (answer.description.empty() && !simple) {
         encoder_.NoData();
       }
     }
     if (!place.only_describe) {
-      encoder_.Raw(answer.rows);
+      encoder_.AppendMessages(answer.rows);
     }
   }
 }
--- a/src/gateway/session_settings.cc
+++ b/src/gateway/session_settings.cc
@@ -97,7 +97,7 @@
     }
     wire::InitialMessage& message = *ValueOf(next);
     if (std::holds_alternative<wire::EncryptionRequest>(message)) {
-      encoder_.Raw("N");
+      encoder_.AppendMessages("N");
       const bool flushed = co_await Flush();
       if (!flushed) {
         co_return false;
--- a/src/monitor/replay_predictor.cc
+++ b/src/monitor/replay_predictor.cc
@@ -20,7 +20,7 @@
   current_at_ = Instant{0};
 }
 
-void ReplayPredictor::Observe(const Observation& observation, Instant now) {
+void ReplayPredictor::RecordObservation(const Observation& observation, Instant now) {
   if (latest_ && observation.term != latest_->term) {
     Reset();
   }
--- a/src/monitor/replay_predictor.h
+++ b/src/monitor/replay_predictor.h
@@ -23,7 +23,7 @@
 /// Keeps the newest observation and how long replay takes after receipt.
 class ReplayPredictor {
  public:
-  void Observe(const Observation& observation, common::Instant now);
+  void RecordObservation(const Observation& observation, common::Instant now);
 
   /// Forgets everything; for an instance that was lost.
   void Reset();
--- a/src/pool/instance_pool.cc
+++ b/src/pool/instance_pool.cc
@@ -215,7 +215,7 @@
   reachable_ = true;
   probed_ = true;
   observed_at_ = SteadyNow();
-  replay_.Observe(observation, SteadyNow());
+  replay_.RecordObservation(observation, SteadyNow());
   for (const WaiterPointer& waiter : waiting_positions_) {
     Wake(waiter, false);
   }
@@ -352,7 +352,7 @@
   recorded = recorded || facts.recorded;
   FinishTicket(ticket);
   const bool abandoned = released && connection->Status() != wire::TransactionStatus::kIdle;
-  if (reply.outcome == Outcome::kUnknown || abandoned || !connection->Usable()) {
+  if (reply.outcome == Outcome::kUnknown || abandoned || !connection->IsUsable()) {
     pinned_.erase(session);
     Discard(connection);
     co_return reply;
@@ -479,7 +479,7 @@
     while (!idle_.empty()) {
       const ConnectionPointer connection = idle_.back();
       idle_.pop_back();
-      if (connection->Usable()) {
+      if (connection->IsUsable()) {
         co_return connection;
       }
       Discard(connection);
@@ -497,7 +497,7 @@
         co_return connection;
       }
       Discard(connection);
-      const bool full = failure->fault == ConnectionFault::kTooMany;
+      const bool full = failure->fault == ConnectionFault::kTooManyConnections;
       co_return Refuse(unnamed, full ? Refusal::kOverloaded : Refusal::kUnreachable,
                        failure->message);
     }
@@ -528,7 +528,7 @@
 }
 
 void InstancePool::ReturnConnection(ConnectionPointer connection) {
-  if (stopped_ || !connection->Usable()) {
+  if (stopped_ || !connection->IsUsable()) {
     Discard(connection);
     return;
   }
@@ -579,7 +579,7 @@
   const bool in_transaction = pinned != nullptr;
   const bool check = !in_transaction && settings_.check_positions &&
                      request.access == Access::kRead &&
-                     !common::Covers(connection->seen_replayed, request.required);
+                     !common::Covers(connection->highest_replayed, request.required);
   const bool record = !request.request_id.empty() && (pinned == nullptr || !pinned->recorded);
   if (!in_transaction && connection->applied_settings != request.settings) {
     auto refused = co_await ApplySettings(connection, request);
@@ -589,7 +589,7 @@
   }
   const RunPlan plan = BuildRunPlan(request, {in_transaction, check, record});
   facts->recorded = record;
-  const bool usable = connection->Usable();
+  const bool usable = connection->IsUsable();
   auto run = co_await connection->Run(plan.commands, true);
   if (!IsOk(run)) {
     if (!usable) {
@@ -608,7 +608,7 @@
   if (after) {
     reply.position = {after->term, after->replayed};
     reply.replayed = reply.position;
-    connection->seen_replayed = reply.position;
+    connection->highest_replayed = reply.position;
     ObserveInBand(*after);
   }
   if (plan.check) {
--- a/src/pool/instance_pool_commit.cc
+++ b/src/pool/instance_pool_commit.cc
@@ -131,7 +131,7 @@
       co_await WaitOn(confirmers_[peer], kLongestWait);
       continue;
     }
-    if (connection == nullptr || !connection->Usable()) {
+    if (connection == nullptr || !connection->IsUsable()) {
       connection = NewConnection(*spec);
       const auto failure = co_await connection->Open(settings_.connect_timeout);
       if (failure) {
--- a/src/standin/instance_server.cc
+++ b/src/standin/instance_server.cc
@@ -126,7 +126,7 @@
       }
       const wire::InitialMessage& message = *ValueOf(next);
       if (std::holds_alternative<wire::EncryptionRequest>(message)) {
-        encoder_.Raw("N");
+        encoder_.AppendMessages("N");
         const bool flushed = co_await Flush();
         if (!flushed) {
           co_return false;
--- a/src/wire/encoder.h
+++ b/src/wire/encoder.h
@@ -33,7 +33,7 @@
   void PortalSuspended();
 
   /// Appends bytes that are whole messages already.
-  void Raw(std::string_view messages) { buffer_.append(messages); }
+  void AppendMessages(std::string_view messages) { buffer_.append(messages); }
 
   /// @return the bytes so far; the encoder is empty afterwards.
   std::string Take();
