--- a/src/backend/connection.cc
+++ b/src/backend/connection.cc
@@ -24,8 +24,9 @@
 using pool::Statement;
 
 constexpr std::size_t kProbeColumns = 4;
-constexpr const char* kProbeName = "valvekeel_probe";
+constexpr const char* kProbeStatementName = "valvekeel_probe";
 
+/// Drops notices, which libpq would print to stderr.
 void IgnoreNotice(void* /*context*/, const PGresult* /*result*/) {}
 
 std::string ResultField(const PGresult* result, int field) {
@@ -33,6 +34,7 @@
   return text == nullptr ? "" : text;
 }
 
+/// Uses the internal-error SQLSTATE and libpq's message if the result has no SQLSTATE.
 wire::ErrorFields ReadError(const PGresult* result) {
   wire::ErrorFields fields;
   fields.sqlstate = ResultField(result, PG_DIAG_SQLSTATE);
@@ -137,7 +139,9 @@
   return out;
 }
 
-Statement MakeProbe() {
+/// Columns: in recovery, received position, replayed position, timeline. On a primary both
+/// positions are the current one.
+Statement MakeProbeStatement() {
   Statement statement;
   statement.text =
       "SELECT pg_is_in_recovery(),"
@@ -153,7 +157,7 @@
 }  // namespace
 
 const Statement& ProbeStatement() {
-  static const Statement kProbe = MakeProbe();
+  static const Statement kProbe = MakeProbeStatement();
   return kProbe;
 }
 
@@ -211,13 +215,13 @@
   }
 }
 
-ConnectionError Connection::Lost() {
+ConnectionError Connection::CloseAsLost() {
   std::string message = connection_ == nullptr ? "closed" : PQerrorMessage(connection_);
   Close();
   return {ConnectionFault::kLost, std::move(message)};
 }
 
-bool Connection::Attach() {
+bool Connection::AttachSocket() {
   const int socket = PQsocket(connection_);
   if (descriptor_.is_open() && descriptor_.native_handle() == socket) {
     return true;
@@ -254,23 +258,24 @@
                                                              ? "out of memory"
                                                              : PQerrorMessage(connection_)};
   }
-  // The timer's handler may run after this coroutine has ended, so what it touches is shared.
-  struct Opening {
+  // The timer's handler may run after this coroutine has ended, so they share the state on the
+  // heap.
+  struct OpenState {
     bool active = true;
     bool timed_out = false;
   };
-  auto opening = std::make_shared<Opening>();
+  auto open_state = std::make_shared<OpenState>();
   asio::steady_timer timer(loop_, timeout);
-  timer.async_wait([this, opening](const asio::error_code& error) {
-    if (!error && opening->active) {
-      opening->timed_out = true;
+  timer.async_wait([this, open_state](const asio::error_code& error) {
+    if (!error && open_state->active) {
+      open_state->timed_out = true;
       Abort();
     }
   });
   PostgresPollingStatusType state = PGRES_POLLING_WRITING;
   bool ready = true;
   while (ready && state != PGRES_POLLING_OK && state != PGRES_POLLING_FAILED) {
-    if (!Attach()) {
+    if (!AttachSocket()) {
       break;
     }
     if (state == PGRES_POLLING_READING) {
@@ -283,8 +288,8 @@
     }
   }
   timer.cancel();
-  opening->active = false;
-  const bool timed_out = opening->timed_out;
+  open_state->active = false;
+  const bool timed_out = open_state->timed_out;
   if (state != PGRES_POLLING_OK || timed_out) {
     const std::string message = PQerrorMessage(connection_);
     ConnectionFault fault = timed_out ? ConnectionFault::kTimedOut : ConnectionFault::kRefused;
@@ -296,20 +301,23 @@
     co_return ConnectionError{fault, message};
   }
   PQsetNoticeReceiver(connection_, IgnoreNotice, nullptr);
-  if (PQsetnonblocking(connection_, 1) != 0 || PQenterPipelineMode(connection_) == 0 || !Attach()) {
-    co_return Lost();
+  if (PQsetnonblocking(connection_, 1) != 0 || PQenterPipelineMode(connection_) == 0 ||
+      !AttachSocket()) {
+    co_return CloseAsLost();
   }
   usable_ = true;
   const bool prepared = co_await PrepareProbe();
   if (!prepared) {
-    co_return Lost();
+    co_return CloseAsLost();
   }
   co_return std::nullopt;
 }
 
 awaitable<bool> Connection::PrepareProbe() {
-  // Probes are most of the control traffic to instances; prepared, one is a fifth of the bytes.
-  if (PQsendPrepare(connection_, kProbeName, ProbeStatement().text.c_str(), 0, nullptr) == 0 ||
+  // Probes are most of the control traffic to instances. A prepared probe takes a fifth of the
+  // bytes.
+  if (PQsendPrepare(connection_, kProbeStatementName, ProbeStatement().text.c_str(), 0, nullptr) ==
+          0 ||
       PQpipelineSync(connection_) == 0) {
     co_return false;
   }
@@ -335,7 +343,7 @@
 bool Connection::SendCommand(const Command& command) {
   const Statement& statement = *command.statement;
   if (&statement == &ProbeStatement()) {
-    if (PQsendQueryPrepared(connection_, kProbeName, 0, nullptr, nullptr, nullptr,
+    if (PQsendQueryPrepared(connection_, kProbeStatementName, 0, nullptr, nullptr, nullptr,
                             wire::kTextFormat) == 0) {
       return false;
     }
@@ -375,7 +383,7 @@
     if (state <= 0) {
       co_return state == 0;
     }
-    // While the output waits, input must be taken or both sides may block.
+    // Read input while the output is blocked: otherwise both sides could wait for each other.
     if (PQconsumeInput(connection_) == 0) {
       co_return false;
     }
@@ -404,24 +412,24 @@
   }
   for (const Command& command : commands) {
     if (!SendCommand(command)) {
-      co_return Lost();
+      co_return CloseAsLost();
     }
   }
   const bool flushed = co_await FlushOutput();
   if (!flushed) {
-    co_return Lost();
+    co_return CloseAsLost();
   }
   std::vector<CommandResult> results;
   for (const Command& command : commands) {
     CommandResult merged;
-    // A describe is two libpq commands: the preparation and the description itself.
+    // A describe takes two libpq commands: Parse and Describe.
     const int parts = command.statement->describe_only ? 2 : 1;
     for (int part = 0; part < parts; ++part) {
       bool lost = false;
       PGresult* result = co_await NextResult(&lost);
       if (lost || result == nullptr) {
         PQclear(result);
-        co_return Lost();
+        co_return CloseAsLost();
       }
       const bool preparation = part + 1 < parts;
       CommandResult read = ReadResult(result, *command.statement, keep_values);
@@ -432,7 +440,7 @@
       PGresult* end = co_await NextResult(&lost);
       if (lost || end != nullptr) {
         PQclear(end);
-        co_return Lost();
+        co_return CloseAsLost();
       }
     }
     results.push_back(std::move(merged));
@@ -442,12 +450,12 @@
       const bool synced = !lost && PQresultStatus(sync) == PGRES_PIPELINE_SYNC;
       PQclear(sync);
       if (!synced) {
-        co_return Lost();
+        co_return CloseAsLost();
       }
     }
   }
   if (PQstatus(connection_) != CONNECTION_OK) {
-    co_return Lost();
+    co_return CloseAsLost();
   }
   co_return results;
 }
@@ -461,7 +469,7 @@
   }
   const auto observation = ReadObservation(ValueOf(results).front());
   if (!observation) {
-    co_return ConnectionError{ConnectionFault::kRefused, "the probe's answer cannot be read"};
+    co_return ConnectionError{ConnectionFault::kRefused, "cannot read the result of the probe"};
   }
   co_return *observation;
 }
--- a/src/backend/connection.h
+++ b/src/backend/connection.h
@@ -1,8 +1,8 @@
-// One connection to a database instance, through libpq without blocking.
+// One non-blocking connection to a database instance, through libpq.
 //
-// Owns: the libpq connection and its place on the event loop. Invariant: at most one batch runs at
-// a time; after any error of the connection itself it is closed and never used again. Thread: the
-// event loop's.
+// Owns: the libpq connection and the registration of its socket with the event loop. Invariant: at
+// most one batch runs at a time; after any error of the connection itself the connection is closed
+// and never used again. Not thread-safe; the thread of the event loop uses it.
 #pragma once
 
 #include <libpq-fe.h>
@@ -24,66 +24,77 @@
 
 namespace valvekeel::backend {
 
-/// Why a connection could not be used.
+/// Why a connection could not be opened or used.
 enum class ConnectionFault : std::uint8_t {
-  kRefused,             // the instance does not answer or refuses
-  kTooManyConnections,  // the instance has no connection left (53300)
+  kRefused,  // the instance is unreachable, rejects the connection or returns an unreadable probe
+  kTooManyConnections,  // the instance has no free connection slot (SQLSTATE 53300)
   kLost,                // the connection ended while in use
-  kTimedOut,
+  kTimedOut,            // not open within the timeout
 };
 
+/// Failure of the connection itself, not of a statement.
 struct ConnectionError {
   ConnectionFault fault = ConnectionFault::kLost;
   std::string message;
 };
 
-/// One query of a run, with what is made of its result.
+/// One command of a batch. The statement must outlive the batch.
 struct Command {
   const pool::Statement* statement = nullptr;
-  bool sync_after = false;  // ends an implicit transaction
+  bool sync_after = false;  // a Sync follows, which ends an implicit transaction
 };
 
-/// Raw result of one command.
+/// Result of one command, encoded for the caller.
 struct CommandResult {
   pool::StatementAnswer answer;
-  std::vector<std::vector<wire::WireValue>> values;  // of internal queries only
-  bool skipped = false;                              // an earlier command of the run failed
+  std::vector<std::vector<wire::WireValue>> values;  // filled only if Run keeps values
+  bool skipped = false;  // not run, since an earlier command of the batch failed
 };
 
+/// A connection in libpq's pipeline mode. Open it once, then run batches until it is not usable.
 class Connection {
  public:
-  /// @param address of the instance. @param database, user as PostgreSQL knows them.
+  /// @param address address of the instance. @param database, user names in PostgreSQL.
   Connection(asio::io_context& loop, const cluster::Endpoint& address, const std::string& database,
              const std::string& user);
   ~Connection();
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// Opens the connection. @param timeout longest time to wait.
+  /// Opens the connection and prepares the probe statement.
+  /// @param timeout maximum time to connect. @return the error, or nothing on success.
   asio::awaitable<std::optional<ConnectionError>> Open(std::chrono::microseconds timeout);
 
-  /// Runs the commands in one round trip. @param keep_values keep the values of results too.
-  /// @return a result per command, or why the connection is gone: what had been sent may have run.
+  /// Runs the commands in one round trip.
+  /// @param keep_values also return the values of the result rows.
+  /// @return one result per command, or the error that closed the connection. After such an error
+  /// the commands that were already sent may have run.
   asio::awaitable<common::Result<std::vector<CommandResult>, ConnectionError>> Run(
       std::vector<Command> commands, bool keep_values);
 
-  /// Asks for role, term and positions. @return nothing if the answer cannot be read.
+  /// Queries role, term and positions of the instance.
+  /// @return the observation, or kRefused if the result cannot be read, or the error that closed
+  /// the connection.
   asio::awaitable<common::Result<monitor::Observation, ConnectionError>> Probe();
 
-  /// Ends a run in progress by closing the connection under it.
+  /// Makes a batch in progress fail by cancelling its waits; the connection is not usable
+  /// afterwards.
   void Abort();
 
+  /// @return the transaction status; kIdle if the connection is closed.
   wire::TransactionStatus Status() const;
   bool IsUsable() const { return usable_; }
 
-  /// @return a handle to cancel the statement in progress, to be used on another thread.
+  /// @return a handle to cancel the statement in progress, for use on another thread; null if the
+  /// connection is closed.
   std::unique_ptr<PGcancel, void (*)(PGcancel*)> CancelHandle() const;
 
-  // Session settings in force, to skip applying them again; nothing if they are not known.
+  // Session settings applied to this connection, so that they are not applied again; nullopt if
+  // unknown.
   std::optional<std::vector<pool::SessionSetting>> applied_settings =
       std::vector<pool::SessionSetting>{};
-  // Highest position that this connection has seen replayed; positions never go back within a
-  // connection, since an instance that is rebuilt closes its connections.
+  // Highest position that the instance reported as replayed on this connection. It never decreases,
+  // since a rebuild of the instance closes its connections.
   common::Position highest_replayed;
 
  private:
@@ -91,11 +102,14 @@
   asio::awaitable<bool> WaitWritable();
   asio::awaitable<bool> FlushOutput();
   asio::awaitable<bool> PrepareProbe();
+  /// Waits for the next result, which may be null; `lost` becomes true if the connection failed.
   asio::awaitable<PGresult*> NextResult(bool* lost);
   bool SendCommand(const Command& command);
-  bool Attach();
+  /// Registers libpq's socket, which may change while connecting, with the event loop.
+  bool AttachSocket();
   void Close();
-  ConnectionError Lost();
+  /// Closes the connection. @return kLost with libpq's error message.
+  ConnectionError CloseAsLost();
 
   asio::io_context& loop_;
   std::string conninfo_;
@@ -104,10 +118,10 @@
   bool usable_ = false;
 };
 
-/// The statement that Probe runs; also pipelined beside a batch.
+/// @return the statement that Probe runs; it may also be part of a batch.
 const pool::Statement& ProbeStatement();
 
-/// @return the observation in the values of a probe's only row, or nothing.
+/// @return the observation in the single row of a probe's result, or nothing if it cannot be read.
 std::optional<monitor::Observation> ReadObservation(const CommandResult& result);
 
 }  // namespace valvekeel::backend
--- a/src/monitor/replay_predictor.cc
+++ b/src/monitor/replay_predictor.cc
@@ -9,7 +9,7 @@
 using common::Instant;
 using common::Position;
 
-constexpr std::size_t kMostReceipts = 1024;
+constexpr std::size_t kMaxReceipts = 1024;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   latest_.reset();
   receipts_.clear();
   replay_lag_ = Duration{0};
-  current_at_ = Instant{0};
+  up_to_date_at_ = Instant{0};
 }
 
 void ReplayPredictor::RecordObservation(const Observation& observation, Instant now) {
@@ -28,34 +28,35 @@
   if (receipts_.empty() || receipts_.back().received < observation.received) {
     receipts_.push_back({observation.received, now});
   }
-  // Receipts up to the replayed position tell when it had arrived; only the last of them counts.
-  std::optional<Instant> arrived;
+  // The last receipt up to the replayed position tells when that position was received.
+  std::optional<Instant> received_at;
   while (!receipts_.empty() && receipts_.front().received <= observation.replayed) {
-    arrived = receipts_.front().at;
+    received_at = receipts_.front().received_at;
     if (receipts_.size() == 1) {
       break;
     }
     receipts_.pop_front();
   }
-  if (receipts_.size() > kMostReceipts) {
+  if (receipts_.size() > kMaxReceipts) {
     receipts_.pop_front();
   }
   if (observation.replayed >= observation.received) {
     replay_lag_ = Duration{0};
-    current_at_ = now;
-  } else if (arrived) {
-    // It was replayed at some time after the observation before this one, so that is all that is
-    // certain: a longer lag would only be the time between two observations.
-    replay_lag_ = std::max(Duration{0}, observed_at_ - *arrived);
-    current_at_ = std::max(current_at_, *arrived);
+    up_to_date_at_ = now;
+  } else if (received_at) {
+    // The position was replayed after the previous observation, so only the time from its receipt
+    // to that observation is certain to be lag. The rest may be the interval between two
+    // observations.
+    replay_lag_ = std::max(Duration{0}, observed_at_ - *received_at);
+    up_to_date_at_ = std::max(up_to_date_at_, *received_at);
   } else if (!receipts_.empty()) {
-    // The oldest receipt is still not replayed, so the lag is at least its age.
-    replay_lag_ = std::max(replay_lag_, now - receipts_.front().at);
+    // The oldest receipt is not replayed yet, so the lag is at least its age.
+    replay_lag_ = std::max(replay_lag_, now - receipts_.front().received_at);
   }
   observed_at_ = now;
 }
 
-Duration ReplayPredictor::Staleness(Instant now) const { return now - current_at_; }
+Duration ReplayPredictor::Staleness(Instant now) const { return now - up_to_date_at_; }
 
 bool ReplayPredictor::HasReplayed(Position required) const {
   return latest_ && latest_->term >= required.term && latest_->replayed >= required.lsn;
@@ -74,7 +75,7 @@
   const auto receipt = std::find_if(receipts_.begin(), receipts_.end(), [&](const Receipt& entry) {
     return entry.received >= required.lsn;
   });
-  const Instant received_at = receipt == receipts_.end() ? now : receipt->at;
+  const Instant received_at = receipt == receipts_.end() ? now : receipt->received_at;
   return std::max(Duration{0}, received_at + replay_lag_ - now);
 }
 
--- a/src/sql/classifier.cc
+++ b/src/sql/classifier.cc
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-/// Functions that neither write nor depend on the connection.
-const absl::flat_hash_set<std::string_view>& ReadFunctions() {
+/// Functions that neither write nor depend on session state.
+const absl::flat_hash_set<std::string_view>& ReadOnlyFunctions() {
   static const absl::flat_hash_set<std::string_view> kFunctions = {"abs",
                                                                    "age",
                                                                    "array_agg",
@@ -113,12 +113,13 @@
   return kFunctions;
 }
 
+/// @return the last part of a qualified name, without its schema; empty if it is not a string.
 std::string LastName(const json& names) {
   const json& last = names.back();
   return last.contains("String") ? last.at("String").value("sval", "") : "";
 }
 
-/// @return true if nothing below the node can write.
+/// @return true if no node of this subtree can write. Unknown functions count as writes.
 bool OnlyReads(const json& node) {
   if (node.is_array()) {
     for (const json& item : node) {
@@ -132,13 +133,13 @@
     return true;
   }
   for (const auto& [key, value] : node.items()) {
-    const bool writes = key == "InsertStmt" || key == "UpdateStmt" || key == "DeleteStmt" ||
-                        key == "MergeStmt" || key == "intoClause" || key == "lockingClause";
-    if (writes) {
+    const bool is_write = key == "InsertStmt" || key == "UpdateStmt" || key == "DeleteStmt" ||
+                          key == "MergeStmt" || key == "intoClause" || key == "lockingClause";
+    if (is_write) {
       return false;
     }
-    const bool function = key == "FuncCall";
-    if (function && !ReadFunctions().contains(LastName(value.at("funcname")))) {
+    const bool is_function_call = key == "FuncCall";
+    if (is_function_call && !ReadOnlyFunctions().contains(LastName(value.at("funcname")))) {
       return false;
     }
     if (!OnlyReads(value)) {
@@ -148,14 +149,15 @@
   return true;
 }
 
-/// @return true if a function that keeps state on the connection is called below the node.
+/// @return true if this subtree calls a function that leaves state in the session: a session-level
+/// advisory lock.
 bool CallsSessionFunction(const json& node) {
   if (node.is_array() || node.is_object()) {
     if (node.is_object() && node.contains("FuncCall")) {
       const std::string name = LastName(node.at("FuncCall").at("funcname"));
-      const bool session_lock =
+      const bool is_session_lock =
           name.rfind("pg_advisory_lock", 0) == 0 || name.rfind("pg_try_advisory_lock", 0) == 0;
-      if (session_lock) {
+      if (is_session_lock) {
         return true;
       }
     }
@@ -168,6 +170,7 @@
   return false;
 }
 
+/// @return the text of a constant, with or without a type cast; empty for any other expression.
 std::string ConstantText(const json& node) {
   if (node.contains("TypeCast")) {
     return ConstantText(node.at("TypeCast").at("arg"));
@@ -191,7 +194,7 @@
   return {};
 }
 
-Classification Unsupported(std::string what) {
+Classification MakeUnsupported(std::string what) {
   Classification classification;
   classification.kind = StatementKind::kUnsupported;
   classification.name = std::move(what);
@@ -213,15 +216,15 @@
   }
   if (kind == "TRANS_STMT_COMMIT" || kind == "TRANS_STMT_ROLLBACK") {
     if (node.value("chain", false)) {
-      return Unsupported("AND CHAIN");
+      return MakeUnsupported("AND CHAIN");
     }
     classification.kind =
         kind == "TRANS_STMT_COMMIT" ? StatementKind::kCommit : StatementKind::kRollback;
     return classification;
   }
-  const bool savepoint = kind == "TRANS_STMT_SAVEPOINT" || kind == "TRANS_STMT_RELEASE" ||
-                         kind == "TRANS_STMT_ROLLBACK_TO";
-  return savepoint ? classification : Unsupported("two-phase commit");
+  const bool is_savepoint = kind == "TRANS_STMT_SAVEPOINT" || kind == "TRANS_STMT_RELEASE" ||
+                            kind == "TRANS_STMT_ROLLBACK_TO";
+  return is_savepoint ? classification : MakeUnsupported("two-phase commit");
 }
 
 Classification ClassifySetting(const json& node) {
@@ -234,7 +237,7 @@
     return classification;
   }
   if (kind == "VAR_SET_MULTI" || kind == "VAR_SET_CURRENT") {
-    // SET TRANSACTION and its like concern the open transaction only.
+    // SET TRANSACTION and similar statements affect only the open transaction.
     classification.local = true;
   }
   classification.kind = StatementKind::kSet;
@@ -248,7 +251,7 @@
 Classification ClassifySelect(const ParsedStatement& statement) {
   Classification classification;
   if (CallsSessionFunction(statement.node)) {
-    return Unsupported("session advisory locks");
+    return MakeUnsupported("session advisory locks");
   }
   classification.kind = OnlyReads(statement.node) ? StatementKind::kRead : StatementKind::kWrite;
   return classification;
@@ -278,21 +281,21 @@
     return classification;
   }
   if (type == "CopyStmt") {
-    return Unsupported("COPY");
+    return MakeUnsupported("COPY");
   }
   if (type == "ListenStmt" || type == "NotifyStmt" || type == "UnlistenStmt") {
-    return Unsupported("LISTEN and NOTIFY");
+    return MakeUnsupported("LISTEN and NOTIFY");
   }
   if (type == "PrepareStmt" || type == "ExecuteStmt" || type == "DeallocateStmt") {
-    return Unsupported("PREPARE and EXECUTE in SQL; use the protocol's prepared statements");
+    return MakeUnsupported("PREPARE and EXECUTE in SQL; use the protocol's prepared statements");
   }
   if (type == "DiscardStmt") {
     classification.kind = StatementKind::kReset;
     return classification;
   }
-  const bool temporary = type == "CreateStmt" && statement.node.contains("relation") &&
-                         statement.node.at("relation").value("relpersistence", "p") == "t";
-  return temporary ? Unsupported("temporary tables") : classification;
+  const bool is_temporary = type == "CreateStmt" && statement.node.contains("relation") &&
+                            statement.node.at("relation").value("relpersistence", "p") == "t";
+  return is_temporary ? MakeUnsupported("temporary tables") : classification;
 }
 
 }  // namespace valvekeel::sql
--- a/src/sql/classifier.h
+++ b/src/sql/classifier.h
@@ -1,7 +1,8 @@
-// Tells what a statement may do, from PostgreSQL's own parse tree.
+// Classifies SQL statements by their effect, from PostgreSQL's own parse tree.
 //
-// Owns: the list of functions known to be reads. Invariant: a statement that is not certainly a
-// read is a write; the database checks again (25006). Thread: any.
+// Owns: the list of functions that are known to be read-only. Invariant: a statement that is not
+// certainly a read is classified as a write. The database checks this again: it rejects a write in
+// a read-only transaction with SQLSTATE 25006. No I/O; safe on any thread.
 #pragma once
 
 #include <string>
@@ -11,27 +12,29 @@
 
 namespace valvekeel::sql {
 
+/// What a statement may do, as far as routing depends on it.
 enum class StatementKind {
   kRead,
   kWrite,
   kBegin,
   kCommit,
   kRollback,
-  kSet,    // of a setting, by name and value
-  kReset,  // of a setting to its default; no name: of all
+  kSet,    // sets a setting, by name and value
+  kReset,  // resets a setting to its default, or all settings if the name is empty
   kShow,
-  kUnsupported,  // would leave state on a shared connection
+  kUnsupported,  // would leave session state on a shared connection, or is not supported otherwise
 };
 
+/// Kind of a statement, with the options that handling it needs.
 struct Classification {
   StatementKind kind = StatementKind::kWrite;
-  bool read_only = false;  // of kBegin
-  bool local = false;      // SET LOCAL: ends with the transaction
-  std::string name;        // of the setting, or what is not supported
-  std::string value;       // of the setting
+  bool read_only = false;  // kBegin: the transaction is read-only
+  bool local = false;      // kSet: the setting ends with the transaction (SET LOCAL)
+  std::string name;        // name of the setting; kUnsupported: the unsupported feature
+  std::string value;       // kSet: new value of the setting
 };
 
-/// @return what one statement may do.
+/// @return the classification of one statement.
 Classification Classify(const ParsedStatement& statement);
 
 }  // namespace valvekeel::sql
--- a/src/sql/parse_tree.cc
+++ b/src/sql/parse_tree.cc
@@ -7,14 +7,17 @@
 namespace valvekeel::sql {
 namespace {
 
+/// @return the part of the query text that holds the statement of this entry of "stmts". A length
+/// of 0 means that the statement reaches to the end of the text.
 std::string StatementText(std::string_view text, const nlohmann::json& entry) {
   const std::size_t location = entry.value("stmt_location", std::size_t{0});
   const std::size_t length = entry.value("stmt_len", std::size_t{0});
-  const std::string_view part =
+  const std::string_view statement_text =
       text.substr(location, length == 0 ? std::string_view::npos : length);
-  return std::string(part);
+  return std::string(statement_text);
 }
 
+/// @param tree_text the parse tree as JSON, as libpg_query returns it.
 ParseTree BuildTree(std::string_view text, const char* tree_text) {
   const nlohmann::json document = nlohmann::json::parse(tree_text);
   ParseTree tree;
@@ -31,8 +34,8 @@
 }  // namespace
 
 ParseResult ParseSql(std::string_view text) {
-  const std::string terminated(text);
-  const PgQueryParseResult parsed = pg_query_parse(terminated.c_str());
+  const std::string null_terminated(text);
+  const PgQueryParseResult parsed = pg_query_parse(null_terminated.c_str());
   ParseResult result = SyntaxError{};
   if (parsed.error != nullptr) {
     result = SyntaxError{parsed.error->message, parsed.error->cursorpos};
--- a/src/sql/parse_tree.h
+++ b/src/sql/parse_tree.h
@@ -1,7 +1,7 @@
-// PostgreSQL's own parser (libpg_query), with a bounded cache by text.
+// Parses SQL with PostgreSQL's own parser (libpg_query) and caches the parse trees by query text.
 //
-// Owns: the cached parse trees. Invariant: a tree is never changed after it is made. Thread: the
-// thread that owns the ParseCache; trees may be shared.
+// Owns: the cached parse trees. Invariant: a tree is immutable once built, so threads may share it.
+// ParseCache is not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -20,32 +20,33 @@
 /// One statement of a query text.
 struct ParsedStatement {
   std::string node_type;  // such as "SelectStmt"
-  nlohmann::json node;    // the statement's own tree
-  std::string text;       // the statement's part of the query text
+  nlohmann::json node;    // parse tree of this statement
+  std::string text;       // the part of the query text that holds this statement
 };
 
 /// All statements of a query text, in order.
 using ParseTree = std::vector<ParsedStatement>;
 
-/// Syntax error as PostgreSQL's parser reports it.
+/// Syntax error reported by PostgreSQL's parser.
 struct SyntaxError {
   std::string message;
-  int cursor = 0;  // 1-based byte position, 0 if not known
+  int cursor = 0;  // 1-based byte position in the query text, 0 if unknown
 };
 
 using ParseResult = common::Result<std::shared_ptr<const ParseTree>, SyntaxError>;
 
-/// Parses a query text without a cache.
+/// Parses a query text without a cache. @return its statements in order, or the syntax error.
 ParseResult ParseSql(std::string_view text);
 
-/// Keeps the trees of the most recently used texts.
+/// Least-recently-used cache of parse trees, keyed by query text.
 class ParseCache {
  public:
-  /// @param capacity number of texts kept. @param maximum_text_bytes longer texts are not kept.
+  /// @param capacity maximum number of cached texts.
+  /// @param maximum_text_bytes length in bytes above which a text is not cached.
   ParseCache(std::size_t capacity, std::size_t maximum_text_bytes)
       : capacity_(capacity), maximum_text_bytes_(maximum_text_bytes) {}
 
-  /// @return the tree of the text or the syntax error; errors are not cached.
+  /// @return the parse tree of the text or the syntax error. Errors are not cached.
   ParseResult Parse(const std::string& text);
 
  private:
@@ -53,7 +54,8 @@
 
   std::size_t capacity_;
   std::size_t maximum_text_bytes_;
-  std::list<Entry> recent_;
+  std::list<Entry> recent_;  // most recently used first
+  // The keys refer to the texts in `recent_`.
   std::unordered_map<std::string_view, std::list<Entry>::iterator> by_text_;
 };
 
--- a/src/wire/decoder.cc
+++ b/src/wire/decoder.cc
@@ -12,14 +12,16 @@
 using common::Result;
 using common::ValueOf;
 
+// Codes in the first message of a connection, as the PostgreSQL protocol defines them.
 constexpr std::uint32_t kProtocolVersion3 = 196608;
 constexpr std::uint32_t kSslRequestCode = 80877103;
 constexpr std::uint32_t kGssRequestCode = 80877104;
 constexpr std::uint32_t kCancelRequestCode = 80877102;
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kTypeBytes = 1;
+// PostgreSQL's own limit on the startup message (MAX_STARTUP_PACKET_LENGTH).
 constexpr std::size_t kMaximumStartupBytes = 10000;
-constexpr std::size_t kCompactThreshold = 65536;
+constexpr std::size_t kCompactThreshold = 65536;  // decoded bytes that are kept before erasing them
 
 std::uint32_t ReadBigEndian32(std::string_view bytes) {
   std::uint32_t value = 0;
@@ -29,7 +31,7 @@
   return value;
 }
 
-/// Reads fields of one message's body; after a failed read every further read fails too.
+/// Reads the fields of one message body; after a failed read every later read fails too.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view body) : rest_(body) {}
@@ -73,6 +75,7 @@
     return value;
   }
 
+  /// Reads a length and as many bytes; length -1 is SQL NULL.
   WireValue Value() {
     const auto length = static_cast<std::int32_t>(Int32());
     if (failed_ || length == -1) {
@@ -87,7 +90,8 @@
     return value;
   }
 
-  /// @return a count of elements, checked against the bytes that they need at least.
+  /// Reads the number of elements that follow. Fails if the rest of the body is too short for them,
+  /// given the minimum size of one element in bytes.
   std::size_t Count(std::size_t element_bytes) {
     const std::size_t count = Int16();
     if (count * element_bytes > rest_.size()) {
@@ -98,6 +102,7 @@
   }
 
   bool Failed() const { return failed_; }
+  /// @return true if every read succeeded and no byte of the body is left.
   bool Complete() const { return !failed_ && rest_.empty(); }
 
  private:
@@ -145,6 +150,7 @@
   return message;
 }
 
+/// Reads the body of Describe or Close; `valid` becomes false if the kind of object is unknown.
 template <typename Message>
 FrontendMessage ReadObjectName(FieldReader& reader, bool* valid) {
   Message message;
@@ -290,8 +296,9 @@
     return std::optional<FrontendMessage>{};
   }
   const std::size_t length = ReadBigEndian32(pending.substr(kTypeBytes));
-  if (length < kLengthBytes || length > maximum_) {
-    return ProtocolError{absl::StrCat("message length ", length, " is outside 4..", maximum_)};
+  if (length < kLengthBytes || length > maximum_message_bytes_) {
+    return ProtocolError{
+        absl::StrCat("message length ", length, " is outside 4..", maximum_message_bytes_)};
   }
   if (pending.size() < kTypeBytes + length) {
     return std::optional<FrontendMessage>{};
--- a/src/wire/decoder.h
+++ b/src/wire/decoder.h
@@ -1,7 +1,8 @@
-// Decoder for what callers send.
+// Decoder for the PostgreSQL protocol messages that callers send.
 //
-// Owns: the bytes received and not yet decoded. Invariant: never reads past a message's declared
-// length and never holds more than the configured limit of one message. Thread: its session's.
+// Owns: the received bytes that are not decoded yet. Invariant: it never reads past the declared
+// length of a message, and it rejects a message whose declared length exceeds the configured limit.
+// Not thread-safe; the thread of the session uses it.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +15,7 @@
 
 namespace valvekeel::wire {
 
-/// Bytes that break the protocol; the session is to be closed.
+/// Received bytes that violate the protocol; the session must be closed.
 struct ProtocolError {
   std::string reason;
 };
@@ -23,27 +24,32 @@
 class Decoder {
  public:
   /// @param maximum_message_bytes largest accepted length of one message, in bytes.
-  explicit Decoder(std::size_t maximum_message_bytes) : maximum_(maximum_message_bytes) {}
+  explicit Decoder(std::size_t maximum_message_bytes)
+      : maximum_message_bytes_(maximum_message_bytes) {}
 
-  /// Adds received bytes.
+  /// Appends received bytes to the buffer.
   void Feed(std::string_view bytes);
 
-  /// @return the first message of a connection, nothing if more bytes are needed, or an error.
+  /// Decodes the first message of a connection, which has no type byte.
+  /// @return the message, nothing if more bytes are needed, or an error.
   common::Result<std::optional<InitialMessage>, ProtocolError> NextInitial();
 
-  /// @return the next message, nothing if more bytes are needed, or an error.
+  /// Decodes the next message after the startup message.
+  /// @return the message, nothing if more bytes are needed, or an error.
   common::Result<std::optional<FrontendMessage>, ProtocolError> Next();
 
-  /// @return bytes received and not yet decoded.
+  /// @return number of received bytes that are not decoded yet.
   std::size_t BufferedBytes() const { return buffer_.size() - consumed_; }
 
  private:
+  /// @return the received bytes that are not decoded yet.
   std::string_view Pending() const { return std::string_view(buffer_).substr(consumed_); }
+  /// Drops this many bytes from the front of the buffer.
   void Consume(std::size_t bytes);
 
-  std::size_t maximum_;
+  std::size_t maximum_message_bytes_;
   std::string buffer_;
-  std::size_t consumed_ = 0;
+  std::size_t consumed_ = 0;  // decoded bytes at the front of `buffer_`
 };
 
 }  // namespace valvekeel::wire
--- a/src/wire/encoder.cc
+++ b/src/wire/encoder.cc
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-std::size_t Encoder::Begin(char type) {
+std::size_t Encoder::BeginMessage(char type) {
   buffer_.push_back(type);
   const std::size_t length_offset = buffer_.size();
-  Int32(0);
+  AppendInt32(0);
   return length_offset;
 }
 
-void Encoder::End(std::size_t length_offset) {
+void Encoder::EndMessage(std::size_t length_offset) {
   const auto length = static_cast<std::uint32_t>(buffer_.size() - length_offset);
   for (std::size_t i = 0; i < sizeof(length); ++i) {
     const std::size_t shift = kByteBits * (sizeof(length) - 1 - i);
@@ -26,96 +26,96 @@
   }
 }
 
-void Encoder::Int16(std::uint16_t value) {
+void Encoder::AppendInt16(std::uint16_t value) {
   buffer_.push_back(static_cast<char>(value >> kByteBits));
   buffer_.push_back(static_cast<char>(value));
 }
 
-void Encoder::Int32(std::uint32_t value) {
-  Int16(static_cast<std::uint16_t>(value >> (2 * kByteBits)));
-  Int16(static_cast<std::uint16_t>(value));
+void Encoder::AppendInt32(std::uint32_t value) {
+  AppendInt16(static_cast<std::uint16_t>(value >> (2 * kByteBits)));
+  AppendInt16(static_cast<std::uint16_t>(value));
 }
 
-void Encoder::CString(std::string_view text) {
+void Encoder::AppendCString(std::string_view text) {
   buffer_.append(text.substr(0, text.find('\0')));
   buffer_.push_back('\0');
 }
 
-void Encoder::Empty(char type) { End(Begin(type)); }
+void Encoder::AppendEmptyMessage(char type) { EndMessage(BeginMessage(type)); }
 
 void Encoder::AuthenticationOk() {
-  const std::size_t start = Begin('R');
-  Int32(kAuthenticationOkCode);
-  End(start);
+  const std::size_t length_offset = BeginMessage('R');
+  AppendInt32(kAuthenticationOkCode);
+  EndMessage(length_offset);
 }
 
 void Encoder::ParameterStatus(std::string_view name, std::string_view value) {
-  const std::size_t start = Begin('S');
-  CString(name);
-  CString(value);
-  End(start);
+  const std::size_t length_offset = BeginMessage('S');
+  AppendCString(name);
+  AppendCString(value);
+  EndMessage(length_offset);
 }
 
 void Encoder::BackendKeyData(std::uint32_t process_id, std::uint32_t secret_key) {
-  const std::size_t start = Begin('K');
-  Int32(process_id);
-  Int32(secret_key);
-  End(start);
+  const std::size_t length_offset = BeginMessage('K');
+  AppendInt32(process_id);
+  AppendInt32(secret_key);
+  EndMessage(length_offset);
 }
 
 void Encoder::ReadyForQuery(TransactionStatus status) {
-  const std::size_t start = Begin('Z');
+  const std::size_t length_offset = BeginMessage('Z');
   buffer_.push_back(static_cast<char>(status));
-  End(start);
+  EndMessage(length_offset);
 }
 
 void Encoder::RowDescription(const std::vector<ColumnDescription>& columns) {
-  const std::size_t start = Begin('T');
-  Int16(static_cast<std::uint16_t>(columns.size()));
+  const std::size_t length_offset = BeginMessage('T');
+  AppendInt16(static_cast<std::uint16_t>(columns.size()));
   for (const ColumnDescription& column : columns) {
-    CString(column.name);
-    Int32(column.table);
-    Int16(static_cast<std::uint16_t>(column.attribute));
-    Int32(column.type);
-    Int16(static_cast<std::uint16_t>(column.type_size));
-    Int32(static_cast<std::uint32_t>(column.type_modifier));
-    Int16(static_cast<std::uint16_t>(column.format));
+    AppendCString(column.name);
+    AppendInt32(column.table);
+    AppendInt16(static_cast<std::uint16_t>(column.attribute));
+    AppendInt32(column.type);
+    AppendInt16(static_cast<std::uint16_t>(column.type_size));
+    AppendInt32(static_cast<std::uint32_t>(column.type_modifier));
+    AppendInt16(static_cast<std::uint16_t>(column.format));
   }
-  End(start);
+  EndMessage(length_offset);
 }
 
 void Encoder::ParameterDescription(const std::vector<TypeId>& types) {
-  const std::size_t start = Begin('t');
-  Int16(static_cast<std::uint16_t>(types.size()));
+  const std::size_t length_offset = BeginMessage('t');
+  AppendInt16(static_cast<std::uint16_t>(types.size()));
   for (const TypeId type : types) {
-    Int32(type);
+    AppendInt32(type);
   }
-  End(start);
+  EndMessage(length_offset);
 }
 
 void Encoder::DataRow(const std::vector<WireValue>& values) {
-  const std::size_t start = Begin('D');
-  Int16(static_cast<std::uint16_t>(values.size()));
+  const std::size_t length_offset = BeginMessage('D');
+  AppendInt16(static_cast<std::uint16_t>(values.size()));
   for (const WireValue& value : values) {
-    Int32(value ? static_cast<std::uint32_t>(value->size()) : kNullLength);
+    AppendInt32(value ? static_cast<std::uint32_t>(value->size()) : kNullLength);
     if (value) {
       buffer_.append(*value);
     }
   }
-  End(start);
+  EndMessage(length_offset);
 }
 
 void Encoder::CommandComplete(std::string_view tag) {
-  const std::size_t start = Begin('C');
-  CString(tag);
-  End(start);
+  const std::size_t length_offset = BeginMessage('C');
+  AppendCString(tag);
+  EndMessage(length_offset);
 }
 
 void Encoder::ErrorResponse(const ErrorFields& fields) {
-  const std::size_t start = Begin('E');
+  const std::size_t length_offset = BeginMessage('E');
   const auto field = [this](char code, std::string_view text) {
     buffer_.push_back(code);
-    CString(text);
+    AppendCString(text);
   };
   field('S', fields.severity);
   field('V', fields.severity);
@@ -125,15 +125,15 @@
     field('D', fields.detail);
   }
   buffer_.push_back('\0');
-  End(start);
+  EndMessage(length_offset);
 }
 
-void Encoder::EmptyQueryResponse() { Empty('I'); }
-void Encoder::ParseComplete() { Empty('1'); }
-void Encoder::BindComplete() { Empty('2'); }
-void Encoder::CloseComplete() { Empty('3'); }
-void Encoder::NoData() { Empty('n'); }
-void Encoder::PortalSuspended() { Empty('s'); }
+void Encoder::EmptyQueryResponse() { AppendEmptyMessage('I'); }
+void Encoder::ParseComplete() { AppendEmptyMessage('1'); }
+void Encoder::BindComplete() { AppendEmptyMessage('2'); }
+void Encoder::CloseComplete() { AppendEmptyMessage('3'); }
+void Encoder::NoData() { AppendEmptyMessage('n'); }
+void Encoder::PortalSuspended() { AppendEmptyMessage('s'); }
 
 std::string Encoder::Take() {
   std::string bytes = std::move(buffer_);
--- a/src/wire/encoder.h
+++ b/src/wire/encoder.h
@@ -1,7 +1,7 @@
-// Encoder for what a server sends to its clients.
+// Encoder for the PostgreSQL protocol messages that a server sends to its clients.
 //
-// Owns: the bytes of the messages appended so far. Invariant: the buffer always ends at a message
-// boundary. Thread: its session's.
+// Owns: the bytes of the messages appended so far. Invariant: between calls the buffer ends at a
+// message boundary. Not thread-safe; the thread of the session uses it.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace valvekeel::wire {
 
-/// Appends server messages to a buffer.
+/// Appends server messages to a buffer; each function appends the message of its name.
 class Encoder {
  public:
   void AuthenticationOk();
@@ -32,22 +32,26 @@
   void NoData();
   void PortalSuspended();
 
-  /// Appends bytes that are whole messages already.
+  /// Appends bytes that already consist of complete encoded messages.
   void AppendMessages(std::string_view messages) { buffer_.append(messages); }
 
-  /// @return the bytes so far; the encoder is empty afterwards.
+  /// @return the bytes appended so far; the encoder is empty afterwards.
   std::string Take();
 
-  /// @return number of bytes waiting.
+  /// @return number of bytes in the buffer.
   std::size_t Size() const { return buffer_.size(); }
 
  private:
-  std::size_t Begin(char type);
-  void End(std::size_t length_offset);
-  void Int16(std::uint16_t value);
-  void Int32(std::uint32_t value);
-  void CString(std::string_view text);
-  void Empty(char type);
+  /// Starts a message. @return the offset of its length field, for EndMessage.
+  std::size_t BeginMessage(char type);
+  /// Writes the length of the message into its length field.
+  void EndMessage(std::size_t length_offset);
+  void AppendInt16(std::uint16_t value);
+  void AppendInt32(std::uint32_t value);
+  /// Appends the text up to its first zero byte, and a zero byte.
+  void AppendCString(std::string_view text);
+  /// Appends a message without a body.
+  void AppendEmptyMessage(char type);
 
   std::string buffer_;
 };
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,7 +1,7 @@
 // Typed messages of the PostgreSQL frontend/backend protocol, version 3.
 //
-// Owns: the message types that a server receives. Invariant: a value of these types has passed all
-// length checks of the decoder. Thread: any (values only).
+// Values only, without I/O. Invariant: a message returned by the decoder has passed all of the
+// decoder's length checks.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace valvekeel::wire {
 
-/// Text (0) or binary (1) form of a value.
+/// Encoding of a value: text (0) or binary (1).
 using FormatCode = std::int16_t;
 inline constexpr FormatCode kTextFormat = 0;
 inline constexpr FormatCode kBinaryFormat = 1;
 
-/// Type number from PostgreSQL's catalogue.
+/// Object identifier of a type in PostgreSQL's catalog.
 using TypeId = std::uint32_t;
 
-/// A value on the wire; no value is SQL NULL.
+/// A value as sent on the wire; nullopt is SQL NULL.
 using WireValue = std::optional<std::string>;
 
-/// First message of a session.
+/// First message of a session, with parameters such as user and database.
 struct StartupMessage {
   std::map<std::string, std::string> parameters;
 };
@@ -32,22 +32,25 @@
 /// Request for an encrypted connection (TLS or GSSAPI).
 struct EncryptionRequest {};
 
-/// Request, on a connection of its own, to cancel another session's statement.
+/// Request to cancel the statement of another session; it is sent on a connection of its own.
 struct CancelRequest {
   std::uint32_t process_id = 0;
   std::uint32_t secret_key = 0;
 };
 
+/// Simple query; the text may hold several statements.
 struct QueryMessage {
   std::string text;
 };
 
+/// Prepares a statement; an empty statement name is the unnamed statement.
 struct ParseMessage {
   std::string statement;
   std::string text;
   std::vector<TypeId> parameter_types;
 };
 
+/// Creates a portal from a prepared statement and its parameters.
 struct BindMessage {
   std::string portal;
   std::string statement;
@@ -56,19 +59,22 @@
   std::vector<FormatCode> result_formats;
 };
 
-/// What Describe and Close name.
+/// Kind of object that a Describe or Close message refers to.
 enum class ObjectKind : char { kStatement = 'S', kPortal = 'P' };
 
+/// Requests the description of a prepared statement or portal.
 struct DescribeMessage {
   ObjectKind kind = ObjectKind::kStatement;
   std::string name;
 };
 
+/// Executes a portal.
 struct ExecuteMessage {
   std::string portal;
-  std::int32_t maximum_rows = 0;
+  std::int32_t maximum_rows = 0;  // 0 is no limit
 };
 
+/// Closes a prepared statement or portal.
 struct CloseMessage {
   ObjectKind kind = ObjectKind::kStatement;
   std::string name;
@@ -78,20 +84,20 @@
 struct FlushMessage {};
 struct TerminateMessage {};
 
-/// A message that is well formed but that valvekeel does not serve (COPY, function call, password).
+/// A message of a type that valvekeel does not support (COPY, function call, password).
 struct UnsupportedMessage {
   char type = 0;
 };
 
-/// First message on a connection.
+/// Any first message of a connection.
 using InitialMessage = std::variant<StartupMessage, EncryptionRequest, CancelRequest>;
 
-/// Any later message of a caller.
+/// Any later message from a caller.
 using FrontendMessage =
     std::variant<QueryMessage, ParseMessage, BindMessage, DescribeMessage, ExecuteMessage,
                  CloseMessage, SyncMessage, FlushMessage, TerminateMessage, UnsupportedMessage>;
 
-/// A column of a result.
+/// A column of a result, as a RowDescription message describes it.
 struct ColumnDescription {
   std::string name;
   std::uint32_t table = 0;
@@ -110,7 +116,7 @@
   std::string severity = "ERROR";
 };
 
-/// State that ReadyForQuery reports.
+/// Transaction status in a ReadyForQuery message.
 enum class TransactionStatus : char { kIdle = 'I', kInTransaction = 'T', kFailed = 'E' };
 
 }  // namespace valvekeel::wire
--- a/tests/monitor/replay_predictor_test.cc
+++ b/tests/monitor/replay_predictor_test.cc
@@ -10,9 +10,11 @@
 
 }  // namespace
 
-TEST_CASE("A replica with a steady lag is predicted within the probe interval", "[monitor]") {
+TEST_CASE("The predicted wait for a steady lag is accurate to about the probe interval",
+          "[monitor]") {
   ReplayPredictor predictor;
-  // One byte of log a millisecond; replay is 40 ms behind receipt; probes every 5 ms.
+  // The log grows by one byte per millisecond, replay is 40 ms behind receipt, and the probe
+  // interval is 5 ms.
   for (std::int64_t ms = 0; ms <= 400; ms += 5) {
     const auto received = static_cast<common::Lsn>(ms);
     const auto replayed = static_cast<common::Lsn>(ms > 40 ? ms - 40 : 0);
@@ -26,9 +28,9 @@
   CHECK(*wait <= Duration{45'000});
 }
 
-TEST_CASE("Coarse probes do not make a replica look further behind than is certain", "[monitor]") {
-  // Found by the demo: probes 250 ms apart made replicas 20 ms behind look 250 ms behind, so reads
-  // went to the primary (replica share 94.9%).
+TEST_CASE("A long probe interval does not inflate the replay lag of a replica", "[monitor]") {
+  // Guards against counting the probe interval as replay lag: with probes every 250 ms, replicas
+  // 20 ms behind appeared 250 ms behind, and reads went to the primary (replica share 94.9 %).
   ReplayPredictor predictor;
   for (std::int64_t ms = 0; ms <= 2000; ms += 250) {
     const auto received = static_cast<common::Lsn>(ms);
@@ -39,7 +41,7 @@
   CHECK(predictor.Staleness(std::chrono::milliseconds(2000)) >= Duration{20'000});
 }
 
-TEST_CASE("A position of a later term cannot be predicted", "[monitor]") {
+TEST_CASE("No wait is predicted for a position of a later term", "[monitor]") {
   ReplayPredictor predictor;
   CHECK_FALSE(predictor.PredictWait({1, 1}, Instant{0}));
   predictor.RecordObservation({true, 1, 100, 100}, Instant{0});
--- a/tests/sql/classifier_test.cc
+++ b/tests/sql/classifier_test.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("Only what is certainly a read counts as one", "[sql]") {
+TEST_CASE("Only statements that certainly do not write are classified as reads", "[sql]") {
   for (const char* read : {"SELECT 1", "SELECT count(*) FROM t WHERE a = lower('X')", "VALUES (1)",
                            "WITH x AS (SELECT 1) SELECT * FROM x", "EXPLAIN SELECT * FROM t"}) {
     CHECK(KindOf(read) == StatementKind::kRead);
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("Transactions and settings are told apart with their options", "[sql]") {
+TEST_CASE("Transaction and setting statements are classified with their options", "[sql]") {
   const auto classify = [](const std::string& text) {
     return Classify(common::ValueOf(ParseSql(text))->front());
   };
@@ -48,7 +48,7 @@
   CHECK(classify("RESET ALL").kind == StatementKind::kReset);
 }
 
-TEST_CASE("The parse cache keeps the newest texts and splits statements", "[sql]") {
+TEST_CASE("The parse cache evicts the least recently used text and splits statements", "[sql]") {
   ParseCache cache(2, 100);
   const auto first = common::ValueOf(cache.Parse("SELECT 1; SELECT 2"));
   REQUIRE(first->size() == 2);
--- a/tests/wire/decoder_test.cc
+++ b/tests/wire/decoder_test.cc
@@ -9,7 +9,7 @@
 namespace valvekeel::wire {
 namespace {
 
-constexpr std::size_t kLimit = 4096;
+constexpr std::size_t kMaximumMessageBytes = 4096;
 
 std::string BigEndian(std::uint32_t value) {
   std::string bytes;
@@ -19,22 +19,23 @@
   return bytes;
 }
 
-std::string Framed(char type, const std::string& body) {
+std::string FrameMessage(char type, const std::string& body) {
   return std::string(1, type) + BigEndian(static_cast<std::uint32_t>(body.size() + 4)) + body;
 }
 
 }  // namespace
 
-TEST_CASE("Messages are decoded whatever way their bytes arrive", "[wire]") {
+TEST_CASE("Messages are decoded regardless of how their bytes are split", "[wire]") {
   using namespace std::string_literals;
-  const std::string bytes = Framed('P', "s\0SELECT $1\0\0\1\0\0\0\x19"s) +
-                            Framed('B', "p\0s\0\0\1\0\1\0\2\0\0\0\1x\xff\xff\xff\xff\0\1\0\0"s) +
-                            Framed('E', "p\0\0\0\0\5"s) + Framed('S', "");
+  const std::string bytes =
+      FrameMessage('P', "s\0SELECT $1\0\0\1\0\0\0\x19"s) +
+      FrameMessage('B', "p\0s\0\0\1\0\1\0\2\0\0\0\1x\xff\xff\xff\xff\0\1\0\0"s) +
+      FrameMessage('E', "p\0\0\0\0\5"s) + FrameMessage('S', "");
   for (std::size_t chunk = 1; chunk <= bytes.size(); ++chunk) {
-    Decoder decoder(kLimit);
+    Decoder decoder(kMaximumMessageBytes);
     std::vector<FrontendMessage> messages;
-    for (std::size_t at = 0; at < bytes.size(); at += chunk) {
-      decoder.Feed(std::string_view(bytes).substr(at, chunk));
+    for (std::size_t offset = 0; offset < bytes.size(); offset += chunk) {
+      decoder.Feed(std::string_view(bytes).substr(offset, chunk));
       while (true) {
         auto next = decoder.Next();
         REQUIRE(common::IsOk(next));
@@ -59,16 +60,18 @@
 TEST_CASE("Oversized, truncated and unknown messages are protocol errors", "[wire]") {
   using namespace std::string_literals;
   for (const std::string& bytes :
-       {"Q"s + BigEndian(kLimit + 1), "Q"s + BigEndian(3), Framed('Q', "no end"), Framed('?', ""),
-        Framed('B', "\0\0\0\xff"s), Framed('D', "Xname\0"s), Framed('S', "more")}) {
-    Decoder decoder(kLimit);
+       {"Q"s + BigEndian(kMaximumMessageBytes + 1), "Q"s + BigEndian(3),
+        FrameMessage('Q', "no end"), FrameMessage('?', ""), FrameMessage('B', "\0\0\0\xff"s),
+        FrameMessage('D', "Xname\0"s), FrameMessage('S', "more")}) {
+    Decoder decoder(kMaximumMessageBytes);
     decoder.Feed(bytes);
     CHECK_FALSE(common::IsOk(decoder.Next()));
   }
 }
 
-TEST_CASE("Random bytes never do worse than a protocol error", "[wire]") {
-  // A fuzz test with fixed seeds: whatever comes, the decoder ends with an error or wants more.
+TEST_CASE("Random bytes cause at most a protocol error", "[wire]") {
+  // Fuzz test with fixed seeds: for any input the decoder returns messages, returns an error or
+  // waits for more bytes.
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
     std::mt19937_64 random(seed);
     std::string bytes;
@@ -80,12 +83,12 @@
       for (std::size_t j = 0; j < length; ++j) {
         body.push_back(static_cast<char>(random() % 4 == 0 ? 0 : random()));
       }
-      bytes += Framed(types[random() % types.size()], body);
+      bytes += FrameMessage(types[random() % types.size()], body);
     }
     if (random() % 2 == 0 && !bytes.empty()) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
     }
-    Decoder decoder(kLimit);
+    Decoder decoder(kMaximumMessageBytes);
     decoder.Feed(bytes);
     const bool initial = random() % 4 == 0;
     if (initial) {
