--- a/src/pool/instance_pool.cc
+++ b/src/pool/instance_pool.cc
@@ -215,7 +215,7 @@
   reachable_ = true;
   probed_ = true;
   observed_at_ = SteadyNow();
-  replay_.Observe(observation, SteadyNow());
+  replay_.RecordObservation(observation, SteadyNow());
   for (const WaiterPointer& waiter : waiting_positions_) {
     Wake(waiter, false);
   }
@@ -353,7 +353,7 @@
   FinishTicket(ticket);
   const bool released_in_transaction =
       released && connection->Status() != wire::TransactionStatus::kIdle;
-  if (reply.outcome == Outcome::kUnknown || released_in_transaction || !connection->Usable()) {
+  if (reply.outcome == Outcome::kUnknown || released_in_transaction || !connection->IsUsable()) {
     pinned_.erase(session);
     Discard(connection);
     co_return reply;
@@ -481,7 +481,7 @@
     while (!idle_.empty()) {
       const ConnectionPointer connection = idle_.back();
       idle_.pop_back();
-      if (connection->Usable()) {
+      if (connection->IsUsable()) {
         co_return connection;
       }
       Discard(connection);
@@ -499,7 +499,7 @@
         co_return connection;
       }
       Discard(connection);
-      const bool full = failure->fault == ConnectionFault::kTooMany;
+      const bool full = failure->fault == ConnectionFault::kTooManyConnections;
       co_return Refuse(unnumbered, full ? Refusal::kOverloaded : Refusal::kUnreachable,
                        failure->message);
     }
@@ -531,7 +531,7 @@
 }
 
 void InstancePool::ReturnConnection(ConnectionPointer connection) {
-  if (stopped_ || !connection->Usable()) {
+  if (stopped_ || !connection->IsUsable()) {
     Discard(connection);
     return;
   }
@@ -582,7 +582,7 @@
   const bool in_transaction = pinned != nullptr;
   const bool check = !in_transaction && settings_.check_positions &&
                      request.access == Access::kRead &&
-                     !common::Covers(connection->seen_replayed, request.required);
+                     !common::Covers(connection->highest_replayed, request.required);
   const bool record = !request.request_id.empty() && (pinned == nullptr || !pinned->recorded);
   if (!in_transaction && connection->applied_settings != request.settings) {
     auto refused = co_await ApplySettings(connection, request);
@@ -592,7 +592,7 @@
   }
   const RunPlan plan = BuildRunPlan(request, {in_transaction, check, record});
   recording->recorded = record;
-  const bool usable = connection->Usable();
+  const bool usable = connection->IsUsable();
   auto run = co_await connection->Run(plan.commands, true);
   if (!IsOk(run)) {
     if (!usable) {
@@ -611,7 +611,7 @@
   if (after) {
     reply.position = {after->term, after->replayed};
     reply.replayed = reply.position;
-    connection->seen_replayed = reply.position;
+    connection->highest_replayed = reply.position;
     ObserveInBand(*after);
   }
   if (plan.position_check) {
