--- a/tests/platform/catalog_translation_test.cc
+++ b/tests/platform/catalog_translation_test.cc
@@ -88,14 +88,14 @@
   copy.configuration = std::get<model::Configuration>(object.payload);
   const std::string text = host::EncodeCatalogCopy(copy);
   CHECK(text.find(key) == std::string::npos);
-  const auto taken = host::DecodeCatalogCopy(text);
-  REQUIRE(taken);
-  const tenants::tenant& north = taken->configuration.tenants.at("north");
+  const auto decoded = host::DecodeCatalogCopy(text);
+  REQUIRE(decoded);
+  const tenants::tenant& north = decoded->configuration.tenants.at("north");
   CHECK(north.keys == std::vector<tenants::key_digest>{tenants::digest_of(key)});
   CHECK(north.rate == 196);
   CHECK(north.burst == 98.5);
-  CHECK_FALSE(taken->configuration.routes.at("db1").is_public);
-  CHECK(taken->configuration.routes.at("db2").is_public);
+  CHECK_FALSE(decoded->configuration.routes.at("db1").is_public);
+  CHECK(decoded->configuration.routes.at("db2").is_public);
 }
 
 TEST_CASE("A tenant with a negative rate makes the configuration unreadable",
@@ -118,13 +118,13 @@
   message.rates.grants = {{7, 1.25, 0.5, 1}};
   const auto read = proxy::DecodePeerMessage(proxy::EncodePeerMessage(message));
   REQUIRE(common::IsOk(read));
-  const proxy::PeerMessage& heard = common::ValueOf(read);
-  CHECK(heard.proven_version == 9);
-  CHECK(heard.proof_age == message.proof_age);
-  CHECK(heard.rates.receiver_is_coordinator);
-  CHECK(heard.rates.sender_is_allocator);
-  CHECK(heard.rates.usage == message.rates.usage);
-  CHECK(heard.rates.grants == message.rates.grants);
+  const proxy::PeerMessage& received = common::ValueOf(read);
+  CHECK(received.proven_version == 9);
+  CHECK(received.proof_age == message.proof_age);
+  CHECK(received.rates.receiver_is_coordinator);
+  CHECK(received.rates.sender_is_allocator);
+  CHECK(received.rates.usage == message.rates.usage);
+  CHECK(received.rates.grants == message.rates.grants);
 }
 
 TEST_CASE("What cannot be read has no payload and keeps its name", "[platform]") {
@@ -155,7 +155,7 @@
   record.sequence = 9;
   record.nonce = "me.1/3";
   record.attempts["group"] = {2, "i-7"};
-  const auto [read, revision] = RecordOf(Object("leader", SpecOf(record)));
+  const auto [read, revision] = ParseLeadershipRecord(Object("leader", SpecOf(record)));
   CHECK(revision == 12);
   CHECK(read.token == 4);
   CHECK(read.nonce == record.nonce);
@@ -176,18 +176,18 @@
       Translated(Collection::kConfiguration, Object("main", spec)).payload);
   copy.instances.push_back(std::get<model::InstanceEntry>(
       Translated(Collection::kInstances, Object("i-1", InstanceSpec())).payload));
-  const auto taken = host::DecodeCatalogCopy(host::EncodeCatalogCopy(copy));
-  REQUIRE(taken);
-  const model::Configuration& configuration = taken->configuration;
+  const auto decoded = host::DecodeCatalogCopy(host::EncodeCatalogCopy(copy));
+  REQUIRE(decoded);
+  const model::Configuration& configuration = decoded->configuration;
   CHECK(configuration.routes.at("db1").allowed_regions ==
         std::vector<std::string>{"north", "south"});
   CHECK(configuration.routes.at("db2").allowed_regions.empty());
   CHECK(configuration.tenants.at("t").allowed_regions == std::vector<std::string>{"south"});
   CHECK(configuration.services.at("group").warm_up ==
         model::WarmUp{std::chrono::milliseconds(6500), 8});
-  REQUIRE(taken->instances.size() == 1);
-  CHECK(taken->instances.front().warm_up_left == std::chrono::milliseconds(1500));
-  CHECK(taken->instances.front().Identity() == copy.instances.front().Identity());
+  REQUIRE(decoded->instances.size() == 1);
+  CHECK(decoded->instances.front().warm_up_left == std::chrono::milliseconds(1500));
+  CHECK(decoded->instances.front().Identity() == copy.instances.front().Identity());
 }
 
 TEST_CASE("An evacuation is known by its zone, whatever else its object holds",
--- a/tests/platform/instance_translation_test.cc
+++ b/tests/platform/instance_translation_test.cc
@@ -15,20 +15,20 @@
 using model::UnusableEntry;
 using nlohmann::json;
 
-json GoodSpec() {
+json ValidSpec() {
   return {{"service", "group"},  {"addr", "10.128.0.9:8080"}, {"zone", "a"}, {"version", "v1"},
           {"slots", 3},          {"state", "ready"},          {"seq", 4},    {"db_role", "replica"},
           {"warmup_left_ms", 0}, {"born", 1778441011418}};
 }
 
 EntryDefect DefectOf(const json& spec, const std::string& id = "i-1") {
-  const auto entry = InstanceOf(id, spec);
+  const auto entry = ParseInstanceEntry(id, spec);
   REQUIRE(std::holds_alternative<UnusableEntry>(entry));
   return std::get<UnusableEntry>(entry).defect;
 }
 
-json With(const char* field, const json& value) {
-  json spec = GoodSpec();
+json SpecWith(const char* field, const json& value) {
+  json spec = ValidSpec();
   spec[field] = value;
   return spec;
 }
@@ -39,8 +39,8 @@
 
 /// A value that somebody may write in a field's place.
 json AnyValue(std::mt19937_64& random, int depth = 0) {
-  constexpr int kDeepest = 8;
-  switch (random() % (depth < kDeepest ? 12 : 10)) {
+  constexpr int kMaxDepth = 8;
+  switch (random() % (depth < kMaxDepth ? 12 : 10)) {
     case 0:
       return nullptr;
     case 1:
@@ -69,7 +69,7 @@
 }
 
 /// Changes an object as no instance would.
-json Mutated(std::mt19937_64& random, json object) {
+json MutatedObject(std::mt19937_64& random, json object) {
   static const std::vector<std::string> kFields = {"service", "addr",    "zone",           "slots",
                                                    "state",   "db_role", "warmup_left_ms", "seq",
                                                    "version", "born"};
@@ -100,42 +100,42 @@
 
 TEST_CASE("An entry that lacks a field, or has one of another type, names no instance",
           "[platform]") {
-  const json good = GoodSpec();
-  for (const auto& [field, value] : good.items()) {
+  const json valid = ValidSpec();
+  for (const auto& [field, value] : valid.items()) {
     INFO(field);
     if (field != "born") {
-      json spec = GoodSpec();
+      json spec = ValidSpec();
       spec.erase(field);
       CHECK(DefectOf(spec) == EntryDefect::kMissingField);
     }
-    CHECK(DefectOf(With(field.c_str(), json::array())) == EntryDefect::kWrongType);
+    CHECK(DefectOf(SpecWith(field.c_str(), json::array())) == EntryDefect::kWrongType);
   }
-  CHECK(DefectOf(With("seq", "4")) == EntryDefect::kWrongType);
-  CHECK(DefectOf(With("born", 1.5)) == EntryDefect::kWrongType);
+  CHECK(DefectOf(SpecWith("seq", "4")) == EntryDefect::kWrongType);
+  CHECK(DefectOf(SpecWith("born", 1.5)) == EntryDefect::kWrongType);
   CHECK(DefectOf("text") == EntryDefect::kWrongType);
 }
 
 TEST_CASE("An entry with a word, address or figure that can't be names no instance", "[platform]") {
-  CHECK(DefectOf(With("state", "resting")) == EntryDefect::kUnknownWord);
-  CHECK(DefectOf(With("db_role", "witness")) == EntryDefect::kUnknownWord);
-  CHECK(DefectOf(With("addr", "group:8080")) == EntryDefect::kBadAddress);
-  CHECK(DefectOf(With("addr", "10.0.0.1:0")) == EntryDefect::kBadAddress);
-  CHECK(DefectOf(With("addr", "0.0.0.0:80")) == EntryDefect::kBadAddress);
-  CHECK(DefectOf(With("slots", 1e300)) == EntryDefect::kWrongType);
-  CHECK(DefectOf(With("slots", 4'000'000'000)) == EntryDefect::kOutOfRange);
-  CHECK(DefectOf(With("slots", -1)) == EntryDefect::kOutOfRange);
-  CHECK(DefectOf(With("warmup_left_ms", 1e300)) == EntryDefect::kOutOfRange);
-  CHECK(DefectOf(With("service", std::string(1'000, 'g'))) == EntryDefect::kOutOfRange);
-  CHECK(DefectOf(GoodSpec(), std::string(1'000, 'i')) == EntryDefect::kOutOfRange);
+  CHECK(DefectOf(SpecWith("state", "resting")) == EntryDefect::kUnknownWord);
+  CHECK(DefectOf(SpecWith("db_role", "witness")) == EntryDefect::kUnknownWord);
+  CHECK(DefectOf(SpecWith("addr", "group:8080")) == EntryDefect::kBadAddress);
+  CHECK(DefectOf(SpecWith("addr", "10.0.0.1:0")) == EntryDefect::kBadAddress);
+  CHECK(DefectOf(SpecWith("addr", "0.0.0.0:80")) == EntryDefect::kBadAddress);
+  CHECK(DefectOf(SpecWith("slots", 1e300)) == EntryDefect::kWrongType);
+  CHECK(DefectOf(SpecWith("slots", 4'000'000'000)) == EntryDefect::kOutOfRange);
+  CHECK(DefectOf(SpecWith("slots", -1)) == EntryDefect::kOutOfRange);
+  CHECK(DefectOf(SpecWith("warmup_left_ms", 1e300)) == EntryDefect::kOutOfRange);
+  CHECK(DefectOf(SpecWith("service", std::string(1'000, 'g'))) == EntryDefect::kOutOfRange);
+  CHECK(DefectOf(ValidSpec(), std::string(1'000, 'i')) == EntryDefect::kOutOfRange);
 }
 
 TEST_CASE("Bytes that are no characters make one entry unusable, the others hold", "[platform]") {
-  const std::string good = Object("i-1", GoodSpec()).dump();
-  std::string bad = Object("i-2", With("version", "v-MARK")).dump();
-  bad.replace(bad.find("MARK"), 4, "\xC3(\xFF");
-  const std::string body = "[" + good + "," + bad + "]";
+  const std::string valid = Object("i-1", ValidSpec()).dump();
+  std::string invalid = Object("i-2", SpecWith("version", "v-MARK")).dump();
+  invalid.replace(invalid.find("MARK"), 4, "\xC3(\xFF");
+  const std::string body = "[" + valid + "," + invalid + "]";
   REQUIRE_THROWS(json::parse(body));
-  const json both = json::parse(MarkBadText(body));
+  const json both = json::parse(MarkInvalidUtf8(body));
   const auto first = Translate(model::Collection::kInstances, both.at(0));
   const auto second = Translate(model::Collection::kInstances, both.at(1));
   REQUIRE(first);
@@ -143,7 +143,7 @@
   CHECK(std::holds_alternative<InstanceEntry>(first->payload));
   REQUIRE(std::holds_alternative<UnusableEntry>(second->payload));
   CHECK(std::get<UnusableEntry>(second->payload).defect == EntryDefect::kBadText);
-  CHECK(MarkBadText("h\xC3\xA4lt") == "h\xC3\xA4lt");
+  CHECK(MarkInvalidUtf8("h\xC3\xA4lt") == "h\xC3\xA4lt");
 }
 
 TEST_CASE("No entry of another writer throws, and none hides a good one", "[platform]") {
@@ -151,19 +151,19 @@
   std::mt19937_64 random(20'261);
   int usable = 0;
   for (int number = 0; number < kEntries; ++number) {
-    const json good = Object("i-1", GoodSpec());
-    json page = json::array({Mutated(random, good), good});
+    const json valid = Object("i-1", ValidSpec());
+    json page = json::array({MutatedObject(random, valid), valid});
     // A tenth is written as bytes, some of which are no characters.
     if (number % 10 == 0) {
       std::string text = page.at(0).dump();
       text[random() % text.size()] = static_cast<char>(random());
-      const json read = json::parse(MarkBadText(text), nullptr, false);
+      const json read = json::parse(MarkInvalidUtf8(text), nullptr, false);
       page[0] = read.is_discarded() ? json(nullptr) : read;
     }
     const auto other = Translate(model::Collection::kInstances, page.at(0));
-    const auto held = Translate(model::Collection::kInstances, page.at(1));
-    REQUIRE(held);
-    REQUIRE(std::holds_alternative<InstanceEntry>(held->payload));
+    const auto unchanged = Translate(model::Collection::kInstances, page.at(1));
+    REQUIRE(unchanged);
+    REQUIRE(std::holds_alternative<InstanceEntry>(unchanged->payload));
     usable += other && std::holds_alternative<InstanceEntry>(other->payload) ? 1 : 0;
   }
   // Some changes leave a field that an instance may write as well, a name or a number.
--- a/tests/platform/line_protocol_test.cc
+++ b/tests/platform/line_protocol_test.cc
@@ -14,16 +14,16 @@
 using model::CommandKind;
 using model::ErrorCode;
 
-constexpr std::size_t kTooLong = (std::size_t{1} << 20U) + 10;
+constexpr std::size_t kOversizedMessageBytes = (std::size_t{1} << 20U) + 10;
 
 /// A codec whose session has started.
-LineCallerCodec Started() {
+LineCallerCodec StartedCodec() {
   LineCallerCodec codec;
   codec.Decode("START db who\r\n");
   return codec;
 }
 
-model::SessionRequest Read(const std::string& id) {
+model::SessionRequest ReadRequest(const std::string& id) {
   return {id, ParseCommand("READ 1a4"), std::nullopt};
 }
 
@@ -70,21 +70,21 @@
     CHECK(std::get<CallerFault>(messages[0]).error == ErrorCode::kMalformed);
     CHECK(codec.Decode("START db who\r\n").empty());
   }
-  LineCallerCodec own_id = Started();
+  LineCallerCodec own_id = StartedCodec();
   CHECK(std::holds_alternative<CallerFault>(own_id.Decode("QUERY - READ x\r\n").front()));
-  LineCallerCodec twice = Started();
+  LineCallerCodec twice = StartedCodec();
   CHECK(std::holds_alternative<CallerFault>(twice.Decode("START db who\r\n").front()));
 }
 
 TEST_CASE("A message without end is refused before it fills the memory", "[platform]") {
-  LineCallerCodec codec = Started();
-  const auto messages = codec.Decode(std::string(kTooLong, 'x'));
+  LineCallerCodec codec = StartedCodec();
+  const auto messages = codec.Decode(std::string(kOversizedMessageBytes, 'x'));
   REQUIRE(messages.size() == 1);
   CHECK(std::get<CallerFault>(messages[0]).error == ErrorCode::kTooLarge);
 }
 
 TEST_CASE("Bytes after the end of a session are not read", "[platform]") {
-  LineCallerCodec codec = Started();
+  LineCallerCodec codec = StartedCodec();
   CHECK(codec.Decode("BYE\r\nQUERY id READ x\r\n").size() == 1);
 }
 
@@ -93,7 +93,7 @@
   CHECK(codec.EncodeStart("group", "", "i-1") == "START group valvekeel i-1\r\n");
   CHECK(codec.EncodeStart("group", "north", "i-1") == "START group north i-1\r\n");
   REQUIRE(std::holds_alternative<InstanceAccepted>(codec.Decode("READY I 3.1207\r\n").front()));
-  model::SessionRequest read = Read("id1");
+  model::SessionRequest read = ReadRequest("id1");
   read.required = common::Position{3, 1207};
   CHECK(codec.EncodeRequest(read) == "QUERY id1 SYNCTO 3.1207 READ 1a4\r\n");
   CHECK(codec.EncodeRequest(model::ControlRequest{model::ControlKind::kStatus, 0}) ==
@@ -131,7 +131,7 @@
 TEST_CASE("Errors of an instance keep their meaning", "[platform]") {
   LineInstanceCodec codec;
   codec.Decode("READY I -\r\n");
-  codec.EncodeRequest(Read("id1"));
+  codec.EncodeRequest(ReadRequest("id1"));
   const auto messages = codec.Decode("ERROR READONLY i-7f3\r\nREADY E 3.1209\r\n");
   const auto& reply = std::get<model::Reply>(messages.front());
   CHECK(reply.error == ErrorCode::kReadOnly);
@@ -149,7 +149,7 @@
   }
   LineInstanceCodec twice;
   twice.Decode("READY I -\r\n");
-  twice.EncodeRequest(Read("id1"));
+  twice.EncodeRequest(ReadRequest("id1"));
   const auto messages = twice.Decode("COMPLETE x\r\nCOMPLETE y\r\nREADY I 1.1\r\n");
   CHECK(std::holds_alternative<InstanceFault>(messages.front()));
 }
@@ -163,10 +163,10 @@
   reply.state = model::TransactionState::kOpen;
   reply.position = common::Position{3, 9};
   CHECK(codec.EncodeReply(reply) == "ROW abc\r\nCOMPLETE 7.1f3\r\nREADY T 3.9\r\n");
-  model::Reply refusal;
-  refusal.error = ErrorCode::kBusy;
-  refusal.error_text = "retry_after_ms=250 no free connection";
-  CHECK(codec.EncodeReply(refusal) ==
+  model::Reply rejection;
+  rejection.error = ErrorCode::kBusy;
+  rejection.error_text = "retry_after_ms=250 no free connection";
+  CHECK(codec.EncodeReply(rejection) ==
         "ERROR BUSY retry_after_ms=250 no free connection\r\nREADY I -\r\n");
 }
 
