--- a/tests/platform/catalog_translation_test.cc
+++ b/tests/platform/catalog_translation_test.cc
@@ -1,3 +1,5 @@
+// Tests the translation of store objects into catalog types and back.
+
 #include "catalog_translation.h"
 
 #include <catch2/catch.hpp>
@@ -37,7 +39,7 @@
   return *std::move(translated);
 }
 
-/// An entry as an instance writes it.
+/// An instance's entry as the instance writes it.
 json InstanceSpec() {
   return {{"service", "group"},
           {"addr", "10.128.0.9:8080"},
@@ -53,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("A configuration is read whole", "[platform]") {
+TEST_CASE("All fields of a configuration are translated", "[platform]") {
   const json spec = {{"version", 7},
                      {"routes", {Route("db1", "read_your_writes"), Route("db2", "primary")}},
                      {"services", {{{"name", "group"}, {"max_conns", 34}, {"sync_replicas", 1}}}},
@@ -70,7 +72,8 @@
   CHECK(configuration.transaction_idle == std::chrono::milliseconds(3000));
 }
 
-TEST_CASE("Tenants are read, and no copy between daemons holds a key", "[platform][tenants]") {
+TEST_CASE("Tenants are translated, and catalog copies between daemons contain no API key",
+          "[platform][tenants]") {
   const std::string key = "bkf83fgfwrz56aw63is4";
   json open_route = Route("db2", "primary");
   open_route["public"] = true;
@@ -108,7 +111,7 @@
   CHECK(std::holds_alternative<std::monostate>(object.payload));
 }
 
-TEST_CASE("Proof and rates of a heartbeat arrive as they were sent", "[platform][tenants]") {
+TEST_CASE("Proof and rates of a heartbeat survive encoding and decoding", "[platform][tenants]") {
   proxy::PeerMessage message;
   message.proven_version = 9;
   message.proof_age = std::chrono::milliseconds(420);
@@ -127,7 +130,7 @@
   CHECK(received.rates.grants == message.rates.grants);
 }
 
-TEST_CASE("What cannot be read has no payload and keeps its name", "[platform]") {
+TEST_CASE("An unreadable object has no payload and keeps its name", "[platform]") {
   const auto broken = Translated(Collection::kConfiguration, Object("main", {{"version", "x"}}));
   CHECK(std::holds_alternative<std::monostate>(broken.payload));
   CHECK(broken.name == "main");
@@ -138,7 +141,7 @@
   CHECK(std::holds_alternative<model::UnusableEntry>(no_port.payload));
 }
 
-TEST_CASE("An instance's entry is read", "[platform]") {
+TEST_CASE("An instance's entry is translated", "[platform]") {
   const auto object = Translated(Collection::kInstances, Object("i-1", InstanceSpec()));
   const auto& entry = std::get<model::InstanceEntry>(object.payload);
   CHECK(entry.id == "i-1");
@@ -148,7 +151,7 @@
   CHECK(entry.Identity() == model::InstanceIncarnation{"i-1", 1778441011418});
 }
 
-TEST_CASE("The leadership record comes back as it was written", "[platform]") {
+TEST_CASE("The leadership record survives encoding and parsing", "[platform]") {
   model::LeadershipRecord record;
   record.holder = "me.1";
   record.token = 4;
@@ -162,7 +165,8 @@
   CHECK(read.attempts == record.attempts);
 }
 
-TEST_CASE("Regions and warm-up are read, and pass on between daemons", "[platform][access]") {
+TEST_CASE("Regions and warm-up are translated and kept in catalog copies between daemons",
+          "[platform][access]") {
   json route = Route("db1", "primary");
   route["allowed_regions"] = {"north", "south"};
   const json spec = {
@@ -190,7 +194,7 @@
   CHECK(decoded->instances.front().Identity() == copy.instances.front().Identity());
 }
 
-TEST_CASE("An evacuation is known by its zone, whatever else its object holds",
+TEST_CASE("An evacuation is identified by its zone, whatever else its object contains",
           "[platform][access]") {
   const auto object = Translated(Collection::kEvacuations, Object("zone-1", json::object()));
   CHECK(std::get<model::ZoneEvacuation>(object.payload).zone == "zone-1");
--- a/tests/platform/instance_translation_test.cc
+++ b/tests/platform/instance_translation_test.cc
@@ -1,4 +1,4 @@
-// Entries of other writers among those of instances.
+// Tests that malformed entries of other writers don't affect the entries of instances.
 
 #include "instance_translation.h"
 
@@ -37,7 +37,7 @@
   return {{"meta", {{"name", name}, {"revision", 12}}}, {"spec", spec}, {"status", nullptr}};
 }
 
-/// A value that somebody may write in a field's place.
+/// A random JSON value, as another writer may put it into a field.
 json AnyValue(std::mt19937_64& random, int depth = 0) {
   constexpr int kMaxDepth = 8;
   switch (random() % (depth < kMaxDepth ? 12 : 10)) {
@@ -68,7 +68,7 @@
   }
 }
 
-/// Changes an object as no instance would.
+/// @return the object with one random change that no instance makes.
 json MutatedObject(std::mt19937_64& random, json object) {
   static const std::vector<std::string> kFields = {"service", "addr",    "zone",           "slots",
                                                    "state",   "db_role", "warmup_left_ms", "seq",
@@ -98,8 +98,7 @@
 
 }  // namespace
 
-TEST_CASE("An entry that lacks a field, or has one of another type, names no instance",
-          "[platform]") {
+TEST_CASE("An entry with a missing field or a field of the wrong type is unusable", "[platform]") {
   const json valid = ValidSpec();
   for (const auto& [field, value] : valid.items()) {
     INFO(field);
@@ -115,7 +114,7 @@
   CHECK(DefectOf("text") == EntryDefect::kWrongType);
 }
 
-TEST_CASE("An entry with a word, address or figure that can't be names no instance", "[platform]") {
+TEST_CASE("An entry with an invalid enum value, address or number is unusable", "[platform]") {
   CHECK(DefectOf(SpecWith("state", "resting")) == EntryDefect::kUnknownWord);
   CHECK(DefectOf(SpecWith("db_role", "witness")) == EntryDefect::kUnknownWord);
   CHECK(DefectOf(SpecWith("addr", "group:8080")) == EntryDefect::kBadAddress);
@@ -129,7 +128,7 @@
   CHECK(DefectOf(ValidSpec(), std::string(1'000, 'i')) == EntryDefect::kOutOfRange);
 }
 
-TEST_CASE("Bytes that are no characters make one entry unusable, the others hold", "[platform]") {
+TEST_CASE("Invalid UTF-8 makes one entry unusable and leaves the others usable", "[platform]") {
   const std::string valid = Object("i-1", ValidSpec()).dump();
   std::string invalid = Object("i-2", SpecWith("version", "v-MARK")).dump();
   invalid.replace(invalid.find("MARK"), 4, "\xC3(\xFF");
@@ -146,14 +145,14 @@
   CHECK(MarkInvalidUtf8("h\xC3\xA4lt") == "h\xC3\xA4lt");
 }
 
-TEST_CASE("No entry of another writer throws, and none hides a good one", "[platform]") {
+TEST_CASE("No malformed entry throws or makes a valid entry unusable", "[platform]") {
   constexpr int kEntries = 100'000;
   std::mt19937_64 random(20'261);
   int usable = 0;
   for (int number = 0; number < kEntries; ++number) {
     const json valid = Object("i-1", ValidSpec());
     json page = json::array({MutatedObject(random, valid), valid});
-    // A tenth is written as bytes, some of which are no characters.
+    // In every tenth object one byte is replaced, which may leave invalid UTF-8.
     if (number % 10 == 0) {
       std::string text = page.at(0).dump();
       text[random() % text.size()] = static_cast<char>(random());
@@ -166,7 +165,7 @@
     REQUIRE(std::holds_alternative<InstanceEntry>(unchanged->payload));
     usable += other && std::holds_alternative<InstanceEntry>(other->payload) ? 1 : 0;
   }
-  // Some changes leave a field that an instance may write as well, a name or a number.
+  // Some random changes yield a value that is valid in its field, such as a name or a number.
   CHECK(usable < kEntries / 4);
 }
 
--- a/tests/platform/line_protocol_test.cc
+++ b/tests/platform/line_protocol_test.cc
@@ -1,3 +1,5 @@
+// Tests the codecs of the line protocol, also with malformed and split input.
+
 #include "line_protocol.h"
 
 #include <catch2/catch.hpp>
@@ -16,7 +18,7 @@
 
 constexpr std::size_t kOversizedMessageBytes = (std::size_t{1} << 20U) + 10;
 
-/// A codec whose session has started.
+/// @return a codec whose session has started.
 LineCallerCodec StartedCodec() {
   LineCallerCodec codec;
   codec.Decode("START db who\r\n");
@@ -29,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("Commands keep what follows the verb byte for byte", "[platform]") {
+TEST_CASE("The arguments of commands are kept byte for byte", "[platform]") {
   for (const std::string text :
        {"READ 1a4", "PUT 1a4 some  data with   blanks ", "EXECUTE s1 1a4 x  y", "COMMIT", "BEGIN",
         "BEGIN READ", "ROLLBACK", "SET name a value", "PARSE s1 PUT q2c", "PARSE s2 READ q1",
@@ -38,7 +40,7 @@
   }
 }
 
-TEST_CASE("Texts that are no commands are told as such", "[platform]") {
+TEST_CASE("Malformed commands are of kind kInvalid", "[platform]") {
   for (const std::string text :
        {"", "SELECT 1", "READ", "PUT", "SET", "PARSE s1", "PARSE s1 DROP x", "COMMIT now",
         "BEGIN WRITE", "SYNCTO 1.2 READ x", "STATUS"}) {
@@ -46,7 +48,7 @@
   }
 }
 
-TEST_CASE("A caller's messages are read however the bytes are cut", "[platform]") {
+TEST_CASE("A caller's messages are decoded wherever the byte stream is split", "[platform]") {
   const std::string bytes = "START db who is it\r\nQUERY id1 READ 1a4\r\nBYE\r\n";
   for (std::size_t cut = 1; cut < bytes.size(); ++cut) {
     LineCallerCodec codec;
@@ -61,7 +63,7 @@
   }
 }
 
-TEST_CASE("Bad input of a caller ends its session with an error", "[platform]") {
+TEST_CASE("Malformed input from a caller ends its session with an error", "[platform]") {
   for (const std::string& bytes : std::vector<std::string>{
            "QUERY id READ x\r\n", "HELLO\r\n", "START\r\n", std::string("\0\0\r\n", 4)}) {
     LineCallerCodec codec;
@@ -76,19 +78,19 @@
   CHECK(std::holds_alternative<CallerFault>(twice.Decode("START db who\r\n").front()));
 }
 
-TEST_CASE("A message without end is refused before it fills the memory", "[platform]") {
+TEST_CASE("A line without an end is rejected at the maximum length", "[platform]") {
   LineCallerCodec codec = StartedCodec();
   const auto messages = codec.Decode(std::string(kOversizedMessageBytes, 'x'));
   REQUIRE(messages.size() == 1);
   CHECK(std::get<CallerFault>(messages[0]).error == ErrorCode::kTooLarge);
 }
 
-TEST_CASE("Bytes after the end of a session are not read", "[platform]") {
+TEST_CASE("Bytes after the end request of a session are ignored", "[platform]") {
   LineCallerCodec codec = StartedCodec();
   CHECK(codec.Decode("BYE\r\nQUERY id READ x\r\n").size() == 1);
 }
 
-TEST_CASE("An instance's answers are tied to the requests in order", "[platform]") {
+TEST_CASE("An instance's replies are matched to requests in order", "[platform]") {
   LineInstanceCodec codec;
   CHECK(codec.EncodeStart("group", "", "i-1") == "START group valvekeel i-1\r\n");
   CHECK(codec.EncodeStart("group", "north", "i-1") == "START group north i-1\r\n");
@@ -113,7 +115,8 @@
   CHECK(status->received == common::Position{3, 1210});
 }
 
-TEST_CASE("Requests of the proxy's own carry its id, controls their terms", "[platform]") {
+TEST_CASE("The proxy's own requests carry its reserved id, and control requests carry their terms",
+          "[platform]") {
   LineInstanceCodec codec;
   model::Command set = ParseCommand("SET v0 abc");
   CHECK(codec.EncodeRequest(model::SessionRequest{"", set, std::nullopt}) ==
@@ -128,7 +131,7 @@
         "QUERY - RESET\r\n");
 }
 
-TEST_CASE("Errors of an instance keep their meaning", "[platform]") {
+TEST_CASE("Error names of an instance are translated to error codes", "[platform]") {
   LineInstanceCodec codec;
   codec.Decode("READY I -\r\n");
   codec.EncodeRequest(ReadRequest("id1"));
@@ -141,7 +144,8 @@
         ErrorCode::kTooManyConnections);
 }
 
-TEST_CASE("Answers to nothing, out of order or cut short end the connection", "[platform]") {
+TEST_CASE("Replies that are unexpected, out of order or incomplete are faults of the connection",
+          "[platform]") {
   for (const std::string bytes : {"ROW x\r\n", "COMPLETE x\r\n", "READY I 1.1\r\n", "NOISE\r\n"}) {
     LineInstanceCodec codec;
     codec.Decode("READY I -\r\n");
@@ -154,7 +158,7 @@
   CHECK(std::holds_alternative<InstanceFault>(messages.front()));
 }
 
-TEST_CASE("Replies to callers are whole lines", "[platform]") {
+TEST_CASE("Replies to callers are encoded as complete lines", "[platform]") {
   LineCallerCodec codec;
   model::Reply reply;
   reply.rows = {"abc"};
