--- a/src/cluster/node.cc
+++ b/src/cluster/node.cc
@@ -41,7 +41,7 @@
 Node::Node(Member self, std::vector<Endpoint> seeds, NodeSettings settings)
     : self_(std::move(self)), seeds_(std::move(seeds)), settings_(settings) {}
 
-Actions Node::TakeActions() { return std::exchange(actions_, {}); }
+Actions Node::ConsumeActions() { return std::exchange(actions_, {}); }
 
 Actions Node::Start(Instant now) {
   joined_ = seeds_.empty();
@@ -49,7 +49,7 @@
   next_join_ = now;
   ApplyEntry(ToEntry(self_), now);
   TryJoin(now);
-  return TakeActions();
+  return ConsumeActions();
 }
 
 void Node::TryJoin(Instant now) {
@@ -67,28 +67,28 @@
   if (now >= next_heartbeat_) {
     next_heartbeat_ = now + settings_.heartbeat_interval;
     SendHeartbeats();
-    ForgetGone(now);
+    RemoveExpiredMembers(now);
   }
   WatchPredecessors(now);
   WatchZones(now);
-  return TakeActions();
+  return ConsumeActions();
 }
 
 Actions Node::Receive(const MemberId& from, const Message& message, Instant now) {
   const auto watched = watched_.find(from);
   if (watched != watched_.end()) {
-    watched->second.last_heard = now;
+    watched->second.last_received_at = now;
   }
   std::visit([&](const auto& typed) { Handle(from, typed, now); }, message);
   RefuteIfNeeded(now);
-  return TakeActions();
+  return ConsumeActions();
 }
 
 Actions Node::Publish(const Entry& entry, Instant now) {
   if (ApplyEntry(entry, now)) {
     Broadcast({entry});
   }
-  return TakeActions();
+  return ConsumeActions();
 }
 
 Actions Node::Leave(Instant now) {
@@ -108,7 +108,7 @@
   if (known != members_.end()) {
     const std::string& zone = known->second.zone;
     if (zone != self_.zone) {
-      zone_heard_[zone] = now;
+      zone_received_at_[zone] = now;
       if (!ZoneReachable(zone)) {
         PublishZone(zone, true, now);
       }
@@ -121,7 +121,7 @@
     return;
   }
   // A difference is normal while an update is on its way, so repairs are paced.
-  Instant& repaired_at = repaired_at_[from];
+  Instant& repaired_at = last_digest_at_[from];
   if (repaired_at != Instant{0} && now - repaired_at < settings_.repair_interval) {
     return;
   }
@@ -152,7 +152,7 @@
 
 void Node::Handle(const MemberId& from, const Digest& message, Instant /*now*/) {
   BucketSummaries reply;
-  for (std::size_t bucket = 0; bucket < replicated::kBuckets; ++bucket) {
+  for (std::size_t bucket = 0; bucket < replicated::kBucketCount; ++bucket) {
     if (message.hashes[bucket] == table_.Hashes()[bucket]) {
       continue;
     }
@@ -232,9 +232,9 @@
     members_[entry.id.name] = FromEntry(entry);
     const bool gone = entry.version.minor >= static_cast<std::uint64_t>(MemberState::kLeaving);
     if (gone) {
-      gone_at_[entry.id.name] = now;
+      ended_at_[entry.id.name] = now;
     } else {
-      gone_at_.erase(entry.id.name);
+      ended_at_.erase(entry.id.name);
     }
   }
   actions_.push_back(ChangedAction{entry});
@@ -254,16 +254,16 @@
   }
 }
 
-void Node::ForgetGone(Instant now) {
-  for (auto it = gone_at_.begin(); it != gone_at_.end();) {
+void Node::RemoveExpiredMembers(Instant now) {
+  for (auto it = ended_at_.begin(); it != ended_at_.end();) {
     if (now - it->second < settings_.forget_after) {
       ++it;
       continue;
     }
-    table_.Forget({EntryKind::kMember, it->first});
+    table_.Remove({EntryKind::kMember, it->first});
     members_.erase(it->first);
     view_changed_ = true;
-    it = gone_at_.erase(it);
+    it = ended_at_.erase(it);
   }
 }
 
@@ -446,7 +446,7 @@
 
 void Node::WatchZones(Instant now) {
   if (!IsBridge()) {
-    zone_heard_.clear();
+    zone_received_at_.clear();
     return;
   }
   // Publishing rebuilds the view, so the zones are found first.
@@ -455,7 +455,7 @@
     if (zone == self_.zone) {
       continue;
     }
-    const Instant heard = zone_heard_.try_emplace(zone, now).first->second;
+    const Instant heard = zone_received_at_.try_emplace(zone, now).first->second;
     if (now - heard >= settings_.zone_lost_after && ZoneReachable(zone)) {
       silent.push_back(zone);
     }
@@ -479,7 +479,7 @@
 
 void Node::CheckWatched(const MemberId& id, Instant now) {
   Watched& watched = watched_[id];
-  if (now - watched.last_heard < settings_.suspect_after) {
+  if (now - watched.last_received_at < settings_.suspect_after) {
     watched.suspected = false;
     return;
   }
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -103,7 +103,7 @@
 
  private:
   struct Watched {
-    common::Instant last_heard{0};
+    common::Instant last_received_at{0};
     common::Instant suspected_at{0};
     bool suspected = false;
   };
@@ -124,7 +124,7 @@
   void SendHeartbeats();
   void WatchPredecessors(common::Instant now);
   void CheckWatched(const MemberId& id, common::Instant now);
-  void ForgetGone(common::Instant now);
+  void RemoveExpiredMembers(common::Instant now);
   void WatchZones(common::Instant now);
   void PublishZone(const std::string& zone, bool reachable, common::Instant now);
   const std::vector<Member>& KnownIn(const std::string& zone) const;
@@ -133,7 +133,7 @@
   std::vector<MemberId> Neighbors(bool successors) const;
   std::vector<MemberId> BridgesOf(const std::string& zone) const;
   bool IsBridge() const;
-  Actions TakeActions();
+  Actions ConsumeActions();
 
   Member self_;
   std::vector<Endpoint> seeds_;
@@ -149,15 +149,16 @@
   bool relay_ = false;
   bool bridge_ = false;
   std::map<MemberId, Watched> watched_;
-  std::map<std::string, common::Instant> zone_heard_;  // other zones, while this one is a bridge
+  std::map<std::string, common::Instant>
+      zone_received_at_;  // other zones, while this one is a bridge
   struct Forwarded {
     replicated::EntryId id;
     replicated::Version version;
     Span span;
   };
   std::deque<Forwarded> forwarded_;  // the newest, to tell repetitions from other trees' parts
-  std::map<MemberId, common::Instant> repaired_at_;
-  std::map<MemberId, common::Instant> gone_at_;
+  std::map<MemberId, common::Instant> last_digest_at_;
+  std::map<MemberId, common::Instant> ended_at_;
   common::Instant next_heartbeat_{0};
   common::Instant next_join_{0};
   std::size_t next_seed_ = 0;
--- a/src/replicated/replicated_table.cc
+++ b/src/replicated/replicated_table.cc
@@ -21,9 +21,9 @@
 
 }  // namespace
 
-std::size_t ReplicatedTable::BucketOf(const EntryId& id) { return IdHash(id) % kBuckets; }
+std::size_t ReplicatedTable::BucketOf(const EntryId& id) { return IdHash(id) % kBucketCount; }
 
-void ReplicatedTable::Toggle(const Entry& entry) {
+void ReplicatedTable::ToggleHash(const Entry& entry) {
   const std::uint64_t hash = SummaryHash(entry);
   buckets_[BucketOf(entry.id)] ^= hash;
   root_ ^= hash;
@@ -33,15 +33,15 @@
   const auto found = entries_.find(entry.id);
   if (found == entries_.end()) {
     entries_.emplace(entry.id, entry);
-    Toggle(entry);
+    ToggleHash(entry);
     return true;
   }
   if (entry.version <= found->second.version) {
     return false;
   }
-  Toggle(found->second);
+  ToggleHash(found->second);
   found->second = entry;
-  Toggle(entry);
+  ToggleHash(entry);
   return true;
 }
 
@@ -63,10 +63,10 @@
   return entries;
 }
 
-void ReplicatedTable::Forget(const EntryId& id) {
+void ReplicatedTable::Remove(const EntryId& id) {
   const auto found = entries_.find(id);
   if (found != entries_.end()) {
-    Toggle(found->second);
+    ToggleHash(found->second);
     entries_.erase(found);
   }
 }
--- a/src/replicated/replicated_table.h
+++ b/src/replicated/replicated_table.h
@@ -54,8 +54,8 @@
   Version version;
 };
 
-inline constexpr std::size_t kBuckets = 64;
-using BucketHashes = std::array<std::uint64_t, kBuckets>;
+inline constexpr std::size_t kBucketCount = 64;
+using BucketHashes = std::array<std::uint64_t, kBucketCount>;
 
 /// Versioned entries with summaries for comparison between daemons.
 class ReplicatedTable {
@@ -74,7 +74,7 @@
   const std::map<EntryId, Entry>& All() const { return entries_; }
 
   /// Removes the entry without a trace; for members gone long ago.
-  void Forget(const EntryId& id);
+  void Remove(const EntryId& id);
 
   /// @return one hash over the whole table.
   std::uint64_t RootHash() const { return root_; }
@@ -88,7 +88,7 @@
   static std::size_t BucketOf(const EntryId& id);
 
  private:
-  void Toggle(const Entry& entry);
+  void ToggleHash(const Entry& entry);
 
   std::map<EntryId, Entry> entries_;
   BucketHashes buckets_{};
--- a/tests/replicated/replicated_table_test.cc
+++ b/tests/replicated/replicated_table_test.cc
@@ -44,7 +44,7 @@
   CHECK_FALSE(table.Apply(entry));
   CHECK(table.RootHash() != empty);
   CHECK(table.Bucket(ReplicatedTable::BucketOf(entry.id)).size() == 1);
-  table.Forget(entry.id);
+  table.Remove(entry.id);
   CHECK(table.RootHash() == empty);
 }
 
