--- a/src/cluster/messages.cc
+++ b/src/cluster/messages.cc
@@ -7,7 +7,7 @@
 
 namespace valvekeel::replicated {
 
-// Entries travel as arrays: field names would be a third of the bytes.
+// Entries are encoded as arrays, because field names would take a third of the bytes.
 
 void to_json(nlohmann::json& out, const EntryId& id) {
   out = nlohmann::json::array({static_cast<int>(id.kind), id.name});
@@ -46,7 +46,7 @@
 
 using nlohmann::json;
 
-// The first element of an encoded message; the order is that of the variant.
+// Position of the message type in an encoded message. The type is the index in the variant.
 constexpr std::size_t kTypeIndex = 0;
 
 json Body(const Heartbeat& message) {
--- a/src/cluster/messages.h
+++ b/src/cluster/messages.h
@@ -1,7 +1,7 @@
-// Messages between daemons about the replicated table.
+// Messages by which daemons replicate their table and detect failures.
 //
-// Owns: the message types and their encoding. Invariant: Decode never accepts what Encode cannot
-// have made. Thread: any.
+// Owns: the message types and their encoding. Invariant: Decode accepts only what Encode can
+// produce. Thread-safe: value types and functions without state.
 #pragma once
 
 #include <cstdint>
@@ -16,49 +16,50 @@
 
 namespace valvekeel::cluster {
 
-/// Part of the hash order of a zone's members, from first to last, that a daemon forwards to.
+/// Range of member hashes, both ends included, whose members a daemon forwards an update to. It is
+/// empty if first is above last.
 struct Span {
   std::uint64_t first = 0;
   std::uint64_t last = ~std::uint64_t{0};
 };
 
-/// Sent at a fixed interval to the successors on the zone's ring and between bridges.
+/// Sent at a fixed interval to the successors on the ring of the zone and between bridges.
 struct Heartbeat {
   std::uint64_t incarnation = 0;
   std::uint64_t table_hash = 0;
 };
 
-/// New entries, forwarded down the zone's tree.
+/// Entries sent to a daemon, which forwards them down the tree of its zone if `forward` is set.
 struct Update {
   std::vector<replicated::Entry> entries;
-  bool forward = false;  // the receiver forwards to the span
+  bool forward = false;  // the receiver forwards to the members in the span
   Span span;
 };
 
-/// Hashes of all buckets, sent when a heartbeat shows a difference.
+/// Hashes of all buckets, sent when the table hash in a heartbeat differs from the local one.
 struct Digest {
   replicated::BucketHashes hashes{};
 };
 
-/// Versions of the entries in the buckets that differ.
+/// Versions of the sender's entries in the buckets that differ.
 struct BucketSummaries {
   std::vector<std::uint32_t> buckets;
   std::vector<replicated::EntrySummary> summaries;
 };
 
-/// Asks for entries by name.
+/// Requests entries by id.
 struct EntriesRequest {
   std::vector<replicated::EntryId> ids;
 };
 
-/// Asks, at the start, for the whole table; introduces the sender.
+/// Sent at start-up: announces the sender and requests the whole table.
 struct Join {
   replicated::Entry member;
 };
 
 using Message = std::variant<Heartbeat, Update, Digest, BucketSummaries, EntriesRequest, Join>;
 
-/// Bytes that are not a message.
+/// Why bytes or a JSON value could not be decoded as a message.
 struct DecodeError {
   std::string reason;
 };
@@ -66,13 +67,13 @@
 /// @return the message as CBOR.
 std::string Encode(const Message& message);
 
-/// @return the message in the bytes or why they cannot be read.
+/// @return the message, or an error if the bytes are not a message.
 common::Result<Message, DecodeError> Decode(std::string_view bytes);
 
-/// @return the message as JSON, for traces and for envelopes that are encoded as a whole.
+/// @return the message as JSON, for traces and for envelopes that contain it.
 nlohmann::json ToJson(const Message& message);
 
-/// @return the message in a JSON value or why it cannot be read.
+/// @return the message, or an error if the JSON value is not a message.
 common::Result<Message, DecodeError> FromJson(const nlohmann::json& value);
 
 }  // namespace valvekeel::cluster
--- a/src/cluster/node.cc
+++ b/src/cluster/node.cc
@@ -12,12 +12,12 @@
 using replicated::Entry;
 using replicated::EntryKind;
 
-// Seeds of the hash orders; each use has its own so that no member carries every duty.
+// Seeds of the hash orders. Each role has its own, so that the roles spread over the members.
 constexpr std::string_view kRingOrder = "ring";
 constexpr std::string_view kBridgeOrder = "bridge/";
 constexpr std::string_view kRelayOrder = "relay/";
 constexpr std::size_t kRememberedForwards = 64;
-constexpr std::size_t kLargestReply = 500;  // entries in one message
+constexpr std::size_t kMaxReplyEntries = 500;  // entries per message
 
 struct HashedMember {
   std::uint64_t hash = 0;
@@ -120,12 +120,12 @@
     }
     return;
   }
-  // A difference is normal while an update is on its way, so repairs are paced.
-  Instant& repaired_at = last_digest_at_[from];
-  if (repaired_at != Instant{0} && now - repaired_at < settings_.repair_interval) {
+  // Tables differ for a short time while an update is in flight, so the rate of repairs is limited.
+  Instant& last_digest_at = last_digest_at_[from];
+  if (last_digest_at != Instant{0} && now - last_digest_at < settings_.repair_interval) {
     return;
   }
-  repaired_at = now;
+  last_digest_at = now;
   SendTo(from, Digest{table_.Hashes()});
 }
 
@@ -138,14 +138,16 @@
   }
   joined_ = true;
   if (message.forward) {
-    // Two trees may carry the same entry, from two relays or two bridges, and each cuts its parts
-    // at another place: what came first is no reason to leave out the part asked for now.
+    // Two trees, started by two relays or two bridges, may carry the same entry and split the zone
+    // into different spans. An entry that is already known is therefore still forwarded to the
+    // requested span.
     const std::vector<Entry>& entries = fresh.empty() ? message.entries : fresh;
     if (!entries.empty() && !AlreadyForwarded(entries.front(), message.span)) {
       Forward(entries, message.span);
     }
   } else if (IsBridge() && !fresh.empty()) {
-    // Repaired by comparison: after a cut between zones the rest of this zone lacks it too.
+    // The entry came from a repair. After a partition between zones the other members of this zone
+    // lack it too.
     Forward(fresh, Span{});
   }
 }
@@ -167,14 +169,14 @@
 }
 
 void Node::Handle(const MemberId& from, const BucketSummaries& message, Instant /*now*/) {
-  EntriesRequest wanted;
+  EntriesRequest request;
   Update newer;
   std::set<replicated::EntryId> theirs;
   for (const auto& summary : message.summaries) {
     theirs.insert(summary.id);
     const Entry* mine = table_.Find(summary.id);
     if (mine == nullptr || mine->version < summary.version) {
-      wanted.ids.push_back(summary.id);
+      request.ids.push_back(summary.id);
     } else if (mine->version > summary.version) {
       newer.entries.push_back(*mine);
     }
@@ -186,8 +188,8 @@
       }
     }
   }
-  if (!wanted.ids.empty()) {
-    SendTo(from, wanted);
+  if (!request.ids.empty()) {
+    SendTo(from, request);
   }
   if (!newer.entries.empty()) {
     SendTo(from, newer);
@@ -213,7 +215,7 @@
   Update part;
   for (const auto& [id, entry] : table_.All()) {
     part.entries.push_back(entry);
-    if (part.entries.size() == kLargestReply) {
+    if (part.entries.size() == kMaxReplyEntries) {
       SendTo(joining, std::exchange(part, {}));
     }
   }
@@ -230,8 +232,8 @@
   if (entry.id.kind == EntryKind::kMember) {
     view_changed_ = true;
     members_[entry.id.name] = FromEntry(entry);
-    const bool gone = entry.version.minor >= static_cast<std::uint64_t>(MemberState::kLeaving);
-    if (gone) {
+    const bool ended = entry.version.minor >= static_cast<std::uint64_t>(MemberState::kLeaving);
+    if (ended) {
       ended_at_[entry.id.name] = now;
     } else {
       ended_at_.erase(entry.id.name);
@@ -285,10 +287,11 @@
 bool Node::AlreadyForwarded(const Entry& entry, Span span) const {
   const Entry* held = table_.Find(entry.id);
   if (span.first > span.last || held == nullptr || held->version > entry.version) {
-    return true;  // nothing to forward to, or a newer version is on its way
+    return true;  // empty span, or a newer version is being forwarded
   }
-  // Only the very same part counts. A part inside one forwarded earlier does not: two roots that
-  // each leave out what the other seems to cover would leave it out both.
+  // Only an identical span counts as forwarded. If a span inside a larger forwarded one counted
+  // too, two roots could each omit members that the other seems to cover, and neither would reach
+  // them.
   return std::any_of(forwarded_.begin(), forwarded_.end(), [&](const Forwarded& earlier) {
     return earlier.id == entry.id && earlier.version == entry.version &&
            earlier.span.first == span.first && earlier.span.last == span.last;
@@ -305,7 +308,7 @@
   if (zone == serving_by_zone_.end()) {
     return;
   }
-  // The order depends on the entry, so that inner places of the tree move between members.
+  // The order depends on the entry, so that different members are inner nodes of the tree.
   std::vector<HashedMember> targets = HashOrder(entries.front().id.name, zone->second);
   std::erase_if(targets, [&](const HashedMember& member) {
     return member.hash < span.first || member.hash > span.last || member.id == self_.id;
@@ -314,7 +317,7 @@
   for (std::size_t branch = 0; branch < branches; ++branch) {
     const std::size_t begin = targets.size() * branch / branches;
     const std::size_t end = targets.size() * (branch + 1) / branches;
-    // The child forwards to the rest of its part; an empty part has first above last.
+    // The child forwards to the rest of its branch. A span with first above last is empty.
     Span rest{targets[begin].hash + 1, targets[end - 1].hash};
     SendTo(targets[begin].id, Update{entries, true, rest});
   }
@@ -370,11 +373,11 @@
     return neighbors;
   }
   const std::size_t size = ring.size();
-  const auto place = static_cast<std::size_t>(self - ring.begin());
+  const auto position = static_cast<std::size_t>(self - ring.begin());
   const std::size_t count = std::min(settings_.ring_successors, size - 1);
   for (std::size_t step = 1; step <= count; ++step) {
     const std::size_t offset = successors ? step : size - step;
-    neighbors.push_back(ring[(place + offset) % size].id);
+    neighbors.push_back(ring[(position + offset) % size].id);
   }
   return neighbors;
 }
@@ -449,18 +452,18 @@
     zone_received_at_.clear();
     return;
   }
-  // Publishing rebuilds the view, so the zones are found first.
-  std::vector<std::string> silent;
+  // Publishing rebuilds the view that this loop iterates over, so the zones are collected first.
+  std::vector<std::string> unresponsive;
   for (const auto& [zone, members] : serving_by_zone_) {
     if (zone == self_.zone) {
       continue;
     }
-    const Instant heard = zone_received_at_.try_emplace(zone, now).first->second;
-    if (now - heard >= settings_.zone_lost_after && ZoneReachable(zone)) {
-      silent.push_back(zone);
+    const Instant received_at = zone_received_at_.try_emplace(zone, now).first->second;
+    if (now - received_at >= settings_.zone_lost_after && ZoneReachable(zone)) {
+      unresponsive.push_back(zone);
     }
   }
-  for (const std::string& zone : silent) {
+  for (const std::string& zone : unresponsive) {
     PublishZone(zone, false, now);
   }
 }
@@ -472,7 +475,7 @@
   entry.version = {before == nullptr ? 1 : before->version.major + 1, 0};
   entry.value = {{"reachable", reachable}};
   if (ApplyEntry(entry, now)) {
-    // Only this zone acts on it; the others learn it by comparison.
+    // Only this zone uses the entry at once; the other zones receive it by repair.
     Forward({entry}, Span{});
   }
 }
--- a/src/cluster/node.h
+++ b/src/cluster/node.h
@@ -1,9 +1,10 @@
-// One daemon's part in the cluster: heartbeats, suspicion, dissemination, repair.
+// State machine of one daemon for cluster membership: heartbeats, failure detection, replication.
 //
-// Owns: this daemon's copy of the replicated table and its view of who is alive. Invariant: every
-// entry is forwarded to each part of the tree at most once; a member is declared failed only
-// after it has had time to refute the suspicion. Pure: time and messages in, actions out; the
-// daemon, the simulator and the capacity run use the same code. Thread: its host's.
+// Owns: the local copy of the replicated table and the local view of the live members. Invariant:
+// every entry is forwarded to each part of the tree at most once; a member is declared failed only
+// after it has had time to refute the suspicion. No I/O and no clock: time and messages come in as
+// arguments, and actions are returned. The daemon, the simulator and the capacity run use the same
+// code. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -27,25 +28,25 @@
 struct NodeSettings {
   common::Duration heartbeat_interval{500'000};
   common::Duration suspect_after{2'000'000};
-  common::Duration fail_after{1'500'000};  // counted from the suspicion
-  common::Duration forget_after{3'600'000'000};
+  common::Duration fail_after{1'500'000};        // counted from the suspicion
+  common::Duration forget_after{3'600'000'000};  // until an ended member is removed
   common::Duration join_retry{500'000};
-  common::Duration repair_interval{500'000};    // least time between two digests sent to a peer
-  common::Duration zone_lost_after{6'000'000};  // silence of all of a zone's bridges
+  common::Duration repair_interval{500'000};    // minimum time between two digests sent to a peer
+  common::Duration zone_lost_after{6'000'000};  // after the last heartbeat of its bridges
   std::size_t ring_successors = 3;
   std::size_t bridges_per_zone = 2;
   std::size_t relays_per_zone = 2;
   std::size_t tree_fanout = 4;
 };
 
-/// Send a message to a member, or to an address before its member is known.
+/// Sends a message to a member, or to an address whose member is not known yet.
 struct SendAction {
   MemberId to;
   Endpoint address;
   Message message;
 };
 
-/// An entry became known or changed.
+/// Reports that an entry was added to the local table or changed.
 struct ChangedAction {
   replicated::Entry entry;
 };
@@ -56,49 +57,51 @@
 /// The membership and dissemination state machine of one daemon.
 class Node {
  public:
-  /// @param self the member record of this start. @param seeds addresses of other daemons.
+  /// @param self the record of this daemon in its present incarnation.
+  /// @param seeds addresses of other daemons; if there are none, the daemon counts as joined.
   Node(Member self, std::vector<Endpoint> seeds, NodeSettings settings);
 
   /// Joins the cluster through the seeds.
   Actions Start(common::Instant now);
 
-  /// Sends heartbeats, detects failures; to be called about every tenth of the interval.
+  /// Sends heartbeats and detects failures. To be called about ten times per heartbeat interval.
   Actions Tick(common::Instant now);
 
-  /// Takes a message from a member.
+  /// Handles a message from a member.
   Actions Receive(const MemberId& from, const Message& message, common::Instant now);
 
-  /// Publishes an entry that this daemon has learned from outside the cluster.
+  /// Applies an entry that comes from outside the cluster and sends it to all daemons.
   Actions Publish(const replicated::Entry& entry, common::Instant now);
 
-  /// Announces a planned stop; ownership moves to others.
+  /// Announces a planned stop. Other members become owners of what this daemon owns.
   Actions Leave(common::Instant now);
 
-  /// Announces that the stop is complete.
+  /// Announces that the planned stop is complete.
   Actions Finish(common::Instant now);
 
   const Member& Self() const { return self_; }
   const replicated::ReplicatedTable& Table() const { return table_; }
 
-  /// @return serving members of the zone, this daemon included; none if the zone is unreachable.
+  /// @return the serving members of the zone, with this daemon if it belongs to the zone; empty if
+  /// the zone is unreachable.
   std::vector<Member> ServingIn(const std::string& zone) const;
 
-  /// @return a number that changes whenever members or the reachability of zones change.
+  /// @return a number that increases whenever members or the reachability of zones change.
   std::uint64_t ViewEpoch() const { return view_epoch_; }
 
-  /// @return serving members of all reachable zones.
+  /// @return the serving members of all reachable zones.
   std::vector<Member> ServingAnywhere() const;
 
-  /// @return false if this daemon's zone hears nothing from any bridge of the zone.
+  /// @return false if the zone of this daemon receives no heartbeat from any bridge of `zone`.
   bool ZoneReachable(const std::string& zone) const;
 
-  /// @return all known members, whatever their state.
+  /// @return all known members in any state.
   std::vector<Member> AllMembers() const;
 
-  /// @return true if this daemon reads the platform for its zone.
+  /// @return true if this daemon reads the configuration from the platform for its zone.
   bool IsRelay() const;
 
-  /// @return true once the table of another daemon was received or there are no seeds.
+  /// @return true once an update of another daemon was received, or if there are no seeds.
   bool Joined() const { return joined_; }
 
  private:
@@ -139,8 +142,8 @@
   std::vector<Endpoint> seeds_;
   NodeSettings settings_;
   replicated::ReplicatedTable table_;
-  std::map<MemberId, Member> members_;                          // the table's members, typed
-  std::map<std::string, std::vector<Member>> serving_by_zone_;  // by id within a zone
+  std::map<MemberId, Member> members_;                          // decoded from the table
+  std::map<std::string, std::vector<Member>> serving_by_zone_;  // sorted by id
   std::vector<MemberId> successors_;
   std::vector<MemberId> predecessors_;
   std::vector<MemberId> bridge_peers_;  // bridges of other zones, if this daemon is a bridge
@@ -149,14 +152,13 @@
   bool relay_ = false;
   bool bridge_ = false;
   std::map<MemberId, Watched> watched_;
-  std::map<std::string, common::Instant>
-      zone_received_at_;  // other zones, while this one is a bridge
+  std::map<std::string, common::Instant> zone_received_at_;  // other zones; empty unless a bridge
   struct Forwarded {
     replicated::EntryId id;
     replicated::Version version;
     Span span;
   };
-  std::deque<Forwarded> forwarded_;  // the newest, to tell repetitions from other trees' parts
+  std::deque<Forwarded> forwarded_;  // the newest; identifies repeated updates
   std::map<MemberId, common::Instant> last_digest_at_;
   std::map<MemberId, common::Instant> ended_at_;
   common::Instant next_heartbeat_{0};
--- a/src/cluster/placement.h
+++ b/src/cluster/placement.h
@@ -1,7 +1,7 @@
-// Placement by rendezvous hashing: who owns what, over the live members of a zone.
+// Assigns objects to the live members of a zone by rendezvous hashing.
 //
-// Owns: nothing; computes from a list of members. Invariant: the same members give the same order
-// on every daemon; a member's loss moves only what it owned. Pure. Thread: any.
+// Invariant: the same members give the same order on every daemon; when a member is lost, only the
+// objects that it owned move. Thread-safe: functions without state, no I/O and no clock.
 #pragma once
 
 #include <string>
@@ -12,8 +12,8 @@
 
 namespace valvekeel::cluster {
 
-/// @return members in the order in which they may own the object, the owner first.
-/// @param object name such as "pool/db-1/0". @param count at most that many members.
+/// @return the members in the order in which they become owner of the object, the owner first.
+/// @param object name such as "pool/db-1/0". @param count maximum number of members returned.
 std::vector<MemberId> RankOwners(std::string_view object, const std::vector<Member>& members,
                                  std::size_t count);
 
--- a/src/configuration/specs.cc
+++ b/src/configuration/specs.cc
@@ -12,12 +12,12 @@
 
 using nlohmann::json;
 
-constexpr std::uint32_t kMostConnections = 10000;
-constexpr std::uint32_t kMostSlots = 1000;
-constexpr double kLargestShare = 1e6;
-constexpr std::uint32_t kMostPort = 65535;
+constexpr std::uint32_t kMaxConnections = 10000;
+constexpr std::uint32_t kMaxSlots = 1000;
+constexpr double kMaxShare = 1e6;
+constexpr std::uint32_t kMaxPort = 65535;
 
-/// Reads fields of one object and collects every fault.
+/// Reads the fields of one JSON object and appends every validation error to a list.
 class FieldReader {
  public:
   FieldReader(const json& object, std::string path, std::vector<SpecError>& errors)
@@ -79,13 +79,13 @@
   }
 
   void Fail(std::string_view field, std::string reason) {
-    const bool joined = !path_.empty() && !field.empty();
-    errors_.push_back(
-        {absl::StrCat(path_, joined ? "." : "", common::ToAbsl(field)), std::move(reason)});
+    const bool needs_separator = !path_.empty() && !field.empty();
+    errors_.push_back({absl::StrCat(path_, needs_separator ? "." : "", common::ToAbsl(field)),
+                       std::move(reason)});
   }
 
-  /// Every field not asked for is an error.
-  void Finish() {
+  /// Adds an error for every field of the object that was not read.
+  void RejectUnknownFields() {
     if (!object_.is_object()) {
       return;
     }
@@ -121,7 +121,7 @@
   instance.id = reader.Text("id", true);
   instance.zone = reader.Text("zone", true);
   instance.address.host = reader.Text("host", true);
-  instance.address.port = static_cast<std::uint16_t>(reader.Number("port", 0, 1, kMostPort));
+  instance.address.port = static_cast<std::uint16_t>(reader.Number("port", 0, 1, kMaxPort));
   if (instance.address.port == 0) {
     reader.Fail("port", "is missing");
   }
@@ -131,9 +131,9 @@
   } else if (!intent.empty() && intent != "active") {
     reader.Fail("intent", "is neither \"active\" nor \"leaving\"");
   }
-  instance.connections = reader.Number("connections", instance.connections, 2, kMostConnections);
-  instance.slots = reader.Number("slots", instance.slots, 1, kMostSlots);
-  reader.Finish();
+  instance.connections = reader.Number("connections", instance.connections, 2, kMaxConnections);
+  instance.slots = reader.Number("slots", instance.slots, 1, kMaxSlots);
+  reader.RejectUnknownFields();
   return instance;
 }
 
@@ -154,7 +154,7 @@
       }
     }
   }
-  reader.Finish();
+  reader.RejectUnknownFields();
   if (!errors.empty()) {
     return errors;
   }
@@ -166,7 +166,7 @@
   FieldReader reader(spec, "", errors);
   ShareGroupSpec group;
   group.name = name;
-  group.share = reader.Real("share", group.share, 0.0, kLargestShare);
+  group.share = reader.Real("share", group.share, 0.0, kMaxShare);
   if (const json* databases = reader.List("databases")) {
     for (std::size_t i = 0; i < databases->size(); ++i) {
       if (!databases->at(i).is_string()) {
@@ -176,12 +176,12 @@
       group.databases.push_back(databases->at(i).get<std::string>());
     }
   }
-  group.minimum = reader.Number("minimum", 0, 0, kMostSlots);
-  group.maximum = reader.Number("maximum", 0, 0, kMostSlots);
+  group.minimum = reader.Number("minimum", 0, 0, kMaxSlots);
+  group.maximum = reader.Number("maximum", 0, 0, kMaxSlots);
   if (group.maximum != 0 && group.minimum > group.maximum) {
     errors.push_back({"minimum", "is above maximum"});
   }
-  reader.Finish();
+  reader.RejectUnknownFields();
   if (!errors.empty()) {
     return errors;
   }
--- a/src/configuration/specs.h
+++ b/src/configuration/specs.h
@@ -1,7 +1,7 @@
-// What operators declare: database groups and the groups of callers that share them.
+// Specifications that operators declare: database groups and the caller groups that share them.
 //
-// Owns: the typed specifications and their checks. Invariant: a specification that was read has
-// passed every check. Thread: any (values only).
+// Owns: the typed specifications and their validation. Invariant: a specification that was read
+// successfully has passed every check. Thread-safe: value types and functions without state.
 #pragma once
 
 #include <cstdint>
@@ -14,6 +14,7 @@
 
 namespace valvekeel::configuration {
 
+/// Whether an instance is to serve requests or to be drained.
 enum class InstanceIntent : std::uint8_t { kActive, kLeaving };
 
 /// One instance of a database group.
@@ -22,11 +23,11 @@
   std::string zone;
   cluster::Endpoint address;
   InstanceIntent intent = InstanceIntent::kActive;
-  std::uint32_t connections = 35;  // most connections valvekeel may hold
-  std::uint32_t slots = 5;         // statements at one time
+  std::uint32_t connections = 35;  // maximum number of connections valvekeel opens
+  std::uint32_t slots = 5;         // maximum number of concurrent statements
 };
 
-/// A database group: one primary, its replicas.
+/// A database group: one primary and its replicas.
 struct DatabaseSpec {
   std::string name;
   std::vector<InstanceSpec> instances;
@@ -35,13 +36,13 @@
 /// A group of callers with a share of the connections.
 struct ShareGroupSpec {
   std::string name;                    // the user name that its callers log in with
-  double share = 1.0;                  // relative weight
+  double share = 1.0;                  // weight relative to the other groups
   std::vector<std::string> databases;  // database groups it may reach
-  std::uint32_t minimum = 0;           // slots per instance kept for it while it has work
-  std::uint32_t maximum = 0;           // slots per instance it may use, 0 for no limit
+  std::uint32_t minimum = 0;           // slots per instance reserved while it has requests
+  std::uint32_t maximum = 0;           // slots per instance it may use; 0: unlimited
 };
 
-/// Why a specification is refused, with the field concerned.
+/// A field of a specification that failed a check, and the reason.
 struct SpecError {
   std::string field;
   std::string reason;
@@ -50,13 +51,15 @@
 template <typename Spec>
 using SpecResult = common::Result<Spec, std::vector<SpecError>>;
 
-/// Reads and checks a database group. @param name the object's name on the platform.
+/// Parses and validates a database group. @param name the object's name on the platform.
+/// @return the specification, or the errors of all its fields.
 SpecResult<DatabaseSpec> ReadDatabaseSpec(const std::string& name, const nlohmann::json& spec);
 
-/// Reads and checks a group of callers. @param name the object's name on the platform.
+/// Parses and validates a group of callers. @param name the object's name on the platform.
+/// @return the specification, or the errors of all its fields.
 SpecResult<ShareGroupSpec> ReadShareGroupSpec(const std::string& name, const nlohmann::json& spec);
 
-/// @return the platform's form of the specification.
+/// @return the specification as JSON, in the form stored on the platform.
 nlohmann::json ToJson(const DatabaseSpec& spec);
 nlohmann::json ToJson(const ShareGroupSpec& spec);
 
--- a/src/replicated/replicated_table.h
+++ b/src/replicated/replicated_table.h
@@ -1,8 +1,8 @@
-// The table that every daemon holds: members, configuration and topology, merged by version.
+// Versioned table of members, configuration and topology that is replicated to every daemon.
 //
-// Owns: the entries and the hashes that summarize them. Invariant: an entry's version never goes
-// down; two tables with the same entries have the same hashes, in whatever order they were applied.
-// Pure. Thread: its host's.
+// Owns: the entries and the hashes that summarize them. Invariant: the version of an entry never
+// decreases; two tables with the same entries have the same hashes, regardless of the order in
+// which the entries were applied. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <array>
@@ -18,15 +18,16 @@
 
 namespace valvekeel::replicated {
 
-/// What an entry describes; each kind has its own rule for versions.
+/// What an entry describes. Each kind derives versions (major, minor) from another source.
 enum class EntryKind : std::uint8_t {
   kMember = 0,      // version: incarnation, state
-  kDatabase = 1,    // version: the platform's resource version
-  kShareGroup = 2,  // version: the platform's resource version
+  kDatabase = 1,    // version: resource version on the platform
+  kShareGroup = 2,  // version: resource version on the platform
   kTopology = 3,    // version: term
-  kZone = 4,        // version: count of changes; name: observing zone "/" zone
+  kZone = 4,        // version: number of changes; name: observing zone "/" observed zone
 };
 
+/// Key of an entry; the name is unique within its kind.
 struct EntryId {
   EntryKind kind = EntryKind::kMember;
   std::string name;
@@ -34,6 +35,7 @@
   auto operator<=>(const EntryId&) const = default;
 };
 
+/// Version of an entry; ordered by major, then by minor.
 struct Version {
   std::uint64_t major = 0;
   std::uint64_t minor = 0;
@@ -41,6 +43,8 @@
   auto operator<=>(const Version&) const = default;
 };
 
+/// An entry of the table. A deleted entry stays as a tombstone, so that older versions of it are
+/// rejected.
 struct Entry {
   EntryId id;
   Version version;
@@ -48,7 +52,7 @@
   nlohmann::json value;
 };
 
-/// An entry's name and version without its value.
+/// Key and version of an entry, without its value.
 struct EntrySummary {
   EntryId id;
   Version version;
@@ -57,31 +61,32 @@
 inline constexpr std::size_t kBucketCount = 64;
 using BucketHashes = std::array<std::uint64_t, kBucketCount>;
 
-/// Versioned entries with summaries for comparison between daemons.
+/// Versioned entries, and hashes of them by which two daemons find the entries that differ.
 class ReplicatedTable {
  public:
-  /// Takes the entry if its version is higher than the one held.
+  /// Stores the entry if it is new or its version is higher than the stored one.
   /// @return true if the table changed.
   bool Apply(const Entry& entry);
 
-  /// @return the entry, deleted ones included, or null.
+  /// @return the entry, which may be marked as deleted, or null.
   const Entry* Find(const EntryId& id) const;
 
-  /// @return all entries of a kind that are not deleted.
+  /// @return the entries of a kind that are not marked as deleted.
   std::vector<const Entry*> OfKind(EntryKind kind) const;
 
-  /// @return all entries.
+  /// @return all entries, including those marked as deleted.
   const std::map<EntryId, Entry>& All() const { return entries_; }
 
-  /// Removes the entry without a trace; for members gone long ago.
+  /// Removes the entry without leaving a tombstone. Used for members that ended long ago.
   void Remove(const EntryId& id);
 
-  /// @return one hash over the whole table.
+  /// @return the hash of the ids and versions of all entries.
   std::uint64_t RootHash() const { return root_; }
 
+  /// @return one hash for each bucket.
   const BucketHashes& Hashes() const { return buckets_; }
 
-  /// @return the summaries of a bucket's entries.
+  /// @return the summaries of the entries in a bucket.
   std::vector<EntrySummary> Bucket(std::size_t bucket) const;
 
   /// @return the bucket that the entry belongs to.
--- a/tests/cluster/node_test.cc
+++ b/tests/cluster/node_test.cc
@@ -16,12 +16,12 @@
   return shape;
 }
 
-constexpr common::Duration kLimit{60'000'000};
+constexpr common::Duration kTimeout{60'000'000};
 
 }  // namespace
 
 TEST_CASE("A change reaches every daemon without waiting for repair", "[cluster]") {
-  // Found by the capacity run: two trees each left out what the other seemed to cover.
+  // Guards against two forwarding trees that each omit members which the other seems to cover.
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     sim::ClusterSim sim(Shape(seed, 48));
     sim.StartAll();
@@ -34,21 +34,22 @@
   }
 }
 
-TEST_CASE("A crashed daemon leaves every view and comes back", "[cluster]") {
+TEST_CASE("A crashed daemon is removed from every view and rejoins after a restart", "[cluster]") {
   sim::ClusterSim sim(Shape());
   sim.StartAll();
   sim.Run(std::chrono::seconds(2));
   sim.Kill(5);
-  REQUIRE(sim.RunUntil([&] { return sim.ViewsAgree(); }, kLimit));
+  REQUIRE(sim.RunUntil([&] { return sim.ViewsAgree(); }, kTimeout));
   const std::uint64_t version = sim.ChangeDatabase(0);
   sim.Run(std::chrono::seconds(1));
   sim.Restart(5);
-  REQUIRE(
-      sim.RunUntil([&] { return sim.ViewsAgree() && sim.InForceEverywhere(0, version); }, kLimit));
+  REQUIRE(sim.RunUntil([&] { return sim.ViewsAgree() && sim.InForceEverywhere(0, version); },
+                       kTimeout));
 }
 
-TEST_CASE("The loss of a whole zone is seen by the others", "[cluster]") {
-  // Found by the capacity run: nobody was left in the zone to suspect its members.
+TEST_CASE("The loss of a whole zone is detected by the other zones", "[cluster]") {
+  // Guards against members of a lost zone that stay in the views: no member of their own zone is
+  // left to suspect them.
   sim::ClusterSim sim(Shape());
   sim.StartAll();
   sim.Run(std::chrono::seconds(2));
@@ -57,11 +58,11 @@
       sim.Kill(daemon);
     }
   }
-  REQUIRE(sim.RunUntil([&] { return sim.ViewsAgree(); }, kLimit));
+  REQUIRE(sim.RunUntil([&] { return sim.ViewsAgree(); }, kTimeout));
   CHECK(sim.NodeAt(0).ServingIn("zone-2").empty());
 }
 
-TEST_CASE("Regions cut off from each other agree again after the cut", "[cluster]") {
+TEST_CASE("Partitioned regions converge after the partition ends", "[cluster]") {
   sim::ClusterSim sim(Shape());
   sim.StartAll();
   sim.Run(std::chrono::seconds(2));
@@ -71,8 +72,8 @@
   sim.Run(std::chrono::seconds(20));
   CHECK_FALSE(sim.InForceEverywhere(1, version));
   sim.CutRegions(false);
-  CHECK(
-      sim.RunUntil([&] { return sim.InForceEverywhere(1, version) && sim.ViewsAgree(); }, kLimit));
+  CHECK(sim.RunUntil([&] { return sim.InForceEverywhere(1, version) && sim.ViewsAgree(); },
+                     kTimeout));
 }
 
 TEST_CASE("A planned stop moves ownership at once", "[cluster]") {
@@ -91,9 +92,9 @@
   self.incarnation = 7;
   Node node(self, {}, {});
   node.Start(common::Instant{0});
-  Member rumour = self;
-  rumour.state = MemberState::kFailed;
-  node.Receive("b", Update{{ToEntry(rumour)}, false, {}}, common::Instant{1});
+  Member failed_record = self;
+  failed_record.state = MemberState::kFailed;
+  node.Receive("b", Update{{ToEntry(failed_record)}, false, {}}, common::Instant{1});
   CHECK(node.Self().incarnation == 8);
   CHECK(FromEntry(*node.Table().Find({replicated::EntryKind::kMember, "a"})).state ==
         MemberState::kAlive);
@@ -119,7 +120,7 @@
   CHECK(owned < 90);
 }
 
-TEST_CASE("Messages keep their content and rubbish is refused", "[cluster]") {
+TEST_CASE("Messages survive encoding and invalid bytes are rejected", "[cluster]") {
   Update update;
   update.entries.push_back(sim::ClusterSim::DatabaseEntry(3, 9));
   update.forward = true;
--- a/tests/replicated/replicated_table_test.cc
+++ b/tests/replicated/replicated_table_test.cc
@@ -7,7 +7,7 @@
 
 namespace valvekeel::replicated {
 
-TEST_CASE("Versions never go down and the order of arrival does not matter", "[replicated]") {
+TEST_CASE("Versions never decrease and the order of application does not matter", "[replicated]") {
   const bool holds = rc::check([](std::vector<std::pair<std::uint8_t, std::uint8_t>> changes) {
     const auto apply = [](ReplicatedTable& table, const auto& change) {
       Entry entry;
@@ -34,7 +34,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("A forgotten entry leaves no trace in the hashes", "[replicated]") {
+TEST_CASE("A removed entry does not affect the hashes", "[replicated]") {
   ReplicatedTable table;
   const std::uint64_t empty = table.RootHash();
   Entry entry;
