--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -480,12 +480,12 @@
   }
 }
 
-void Daemon::NoteReplayed(const std::string& database, const std::string& instance,
-                          common::Position replayed) {
+void Daemon::RecordReplayed(const std::string& database, const std::string& instance,
+                            common::Position replayed) {
   directory_->NoteReplayed(database, instance, replayed);
 }
 
-void Daemon::NoteUnreachable(const std::string& database, const std::string& instance) {
+void Daemon::RecordUnreachable(const std::string& database, const std::string& instance) {
   directory_->AvoidInstance(database, instance, SteadyNow() + kAvoidInstance);
 }
 
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -53,9 +53,9 @@
   void Release(const pool::ReleaseRequest& request) override;
   void Cancel(const pool::CancelStatementRequest& request) override;
   asio::awaitable<void> WaitForChange(std::string database, common::Duration limit) override;
-  void NoteReplayed(const std::string& database, const std::string& instance,
-                    common::Position replayed) override;
-  void NoteUnreachable(const std::string& database, const std::string& instance) override;
+  void RecordReplayed(const std::string& database, const std::string& instance,
+                      common::Position replayed) override;
+  void RecordUnreachable(const std::string& database, const std::string& instance) override;
 
   /// @return the state of this daemon for `valvekeel status`.
   nlohmann::json Status() const;
--- a/src/daemon/daemon_settings.cc
+++ b/src/daemon/daemon_settings.cc
@@ -135,9 +135,9 @@
                                                                : routing::ReadPolicy::kByPosition;
                 });
   Number(schema, "gateway.largest_message_bytes", "bytes", "largest message of a caller", 1024,
-         kMostMessage, &out.sessions.largest_message_bytes);
+         kMostMessage, &out.sessions.max_message_bytes);
   Number(schema, "gateway.largest_pipeline", "messages", "messages of a caller before a Sync", 10,
-         kMostWrites, &out.sessions.largest_pipeline);
+         kMostWrites, &out.sessions.max_pipeline_messages);
   Number(schema, "gateway.prepared_statements", "statements", "prepared statements of a session", 1,
          kMostWrites, &out.sessions.prepared_statements);
   Time(schema, "gateway.default_deadline_ms", "time until a request must have started", 1,
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -42,9 +42,9 @@
   virtual asio::awaitable<void> WaitForChange(std::string database, common::Duration limit) = 0;
 
   /// Notes for routing what an instance has replayed, or that it should be avoided for a while.
-  virtual void NoteReplayed(const std::string& database, const std::string& instance,
-                            common::Position replayed) = 0;
-  virtual void NoteUnreachable(const std::string& database, const std::string& instance) = 0;
+  virtual void RecordReplayed(const std::string& database, const std::string& instance,
+                              common::Position replayed) = 0;
+  virtual void RecordUnreachable(const std::string& database, const std::string& instance) = 0;
 };
 
 }  // namespace valvekeel::gateway
--- a/src/gateway/batch_router.cc
+++ b/src/gateway/batch_router.cc
@@ -74,15 +74,15 @@
   return found->second;
 }
 
-void BatchRouter::NoteOutcome(const SessionRoute& route, const BatchReply& reply,
-                              const std::string& instance) {
+void BatchRouter::RecordOutcome(const SessionRoute& route, const BatchReply& reply,
+                                const std::string& instance) {
   if (reply.replayed != common::Position{}) {
-    backends_.NoteReplayed(route.database, instance, reply.replayed);
+    backends_.RecordReplayed(route.database, instance, reply.replayed);
   }
   const bool lost = reply.outcome == Outcome::kUnknown ||
                     (reply.outcome == Outcome::kRefused && reply.refusal == Refusal::kUnreachable);
   if (lost) {
-    backends_.NoteUnreachable(route.database, instance);
+    backends_.RecordUnreachable(route.database, instance);
   }
 }
 
@@ -148,7 +148,7 @@
   request.instance = instance;
   request.continues = true;
   BatchReply reply = co_await backends_.Execute(std::move(request));
-  NoteOutcome(route, reply, instance);
+  RecordOutcome(route, reply, instance);
   co_return reply;
 }
 
@@ -205,7 +205,7 @@
       attempt.budget_us = (deadline - SteadyNow()).count();
       attempt.max_staleness_us = primary ? 0 : request.max_staleness_us;
       BatchReply reply = co_await backends_.Execute(std::move(attempt));
-      NoteOutcome(route, reply, instance);
+      RecordOutcome(route, reply, instance);
       const bool rerouted = reply.outcome == Outcome::kDone && !primary && RefusedAsReadOnly(reply);
       if (rerouted && reply.status == wire::TransactionStatus::kIdle) {
         // The database says that the statement writes; it did not run and goes to the primary.
@@ -255,7 +255,7 @@
       attempt.instance = *primary;
       attempt.budget_us = (deadline - SteadyNow()).count();
       BatchReply reply = co_await backends_.Execute(std::move(attempt));
-      NoteOutcome(route, reply, *primary);
+      RecordOutcome(route, reply, *primary);
       if (reply.outcome == Outcome::kDone && reply.status != wire::TransactionStatus::kIdle) {
         route.transaction_instance = *primary;
       }
--- a/src/gateway/batch_router.h
+++ b/src/gateway/batch_router.h
@@ -96,8 +96,8 @@
                                              common::Instant deadline);
   asio::awaitable<bool> PassBarrier(SessionRoute& route, common::Instant deadline);
   routing::RetryBudget& BudgetOf(const std::string& group);
-  void NoteOutcome(const SessionRoute& route, const pool::BatchReply& reply,
-                   const std::string& instance);
+  void RecordOutcome(const SessionRoute& route, const pool::BatchReply& reply,
+                     const std::string& instance);
 
   Backends& backends_;
   RoutingSettings settings_;
--- a/src/gateway/session.cc
+++ b/src/gateway/session.cc
@@ -60,7 +60,7 @@
       socket_(std::move(socket)),
       key_(key),
       on_cancel_(std::move(on_cancel)),
-      decoder_(services.settings.largest_message_bytes) {
+      decoder_(services.settings.max_message_bytes) {
   route_.number = number;
   route_.budget = services.settings.default_deadline;
   asio::error_code ignored;
@@ -140,7 +140,7 @@
   if (!Busy() && !ended_) {
     wire::Encoder farewell;
     farewell.ErrorResponse(
-        {std::string(common::kAdminShutdown), std::string(kFarewell), "", "FATAL"});
+        {std::string(common::kAdminShutdown), std::string(kStoppingMessage), "", "FATAL"});
     const std::string bytes = farewell.Take();
     asio::error_code ignored;
     socket_.write_some(asio::buffer(bytes), ignored);
@@ -155,7 +155,7 @@
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-awaitable<void> Session::Linger() {
+awaitable<void> Session::DiscardUntilClosed() {
   // A socket closed with unread data resets the connection, and the caller might lose the farewell.
   // So what still comes is read and dropped, until the caller closes or this daemon ends.
   auto& buffer = SharedReadBuffer();
@@ -176,8 +176,8 @@
   bool open = co_await Startup();
   while (open) {
     // Looked at before each message: the stop may have begun while the last answer was sent.
-    if (stopping_ && Rests()) {
-      open = co_await SendFatal(MakeError(common::kAdminShutdown, std::string(kFarewell)));
+    if (stopping_ && IsIdle()) {
+      open = co_await SendFatal(MakeError(common::kAdminShutdown, std::string(kStoppingMessage)));
     } else {
       open = co_await Serve();
     }
@@ -186,7 +186,7 @@
     services_.backends.Release({route_.database, route_.transaction_instance, route_.number});
   }
   if (ended_) {
-    co_await Linger();
+    co_await DiscardUntilClosed();
   }
   asio::error_code ignored;
   socket_.close(ignored);
@@ -232,7 +232,7 @@
   if (skip_until_sync_ || pipeline_error_) {
     co_return true;
   }
-  if (pending_.output.size() >= services_.settings.largest_pipeline) {
+  if (pending_.output.size() >= services_.settings.max_pipeline_messages) {
     FailPipeline(MakeError(common::kProgramLimitExceeded, "too many messages before a Sync"));
     co_return true;
   }
@@ -355,7 +355,7 @@
   describe.text = found->second.text;
   describe.parameter_types = found->second.types;
   describe.describe_only = true;
-  pending_.output.emplace_back(AnswerOf{pending_.statements.size(), true, true});
+  pending_.output.emplace_back(StatementOutput{pending_.statements.size(), true, true});
   pending_.statements.push_back(std::move(describe));
   Classification read;
   read.kind = statement.kind == StatementKind::kRead ? StatementKind::kRead : StatementKind::kShow;
@@ -423,7 +423,7 @@
     classification.kind = StatementKind::kRead;
     pending_.needs_primary = true;  // only a confirmed primary can tell
   }
-  pending_.output.emplace_back(AnswerOf{pending_.statements.size(), describe, false});
+  pending_.output.emplace_back(StatementOutput{pending_.statements.size(), describe, false});
   pending_.statements.push_back(std::move(statement));
   pending_.classes.push_back(std::move(classification));
 }
@@ -527,22 +527,22 @@
   if (routed.error) {
     encoder_.ErrorResponse(*routed.error);
     skip_until_sync_ = !simple;
-    ForgetRequestId();
+    ClearRequestId();
     status_ = in_block ? TransactionStatus::kFailed : TransactionStatus::kIdle;
     co_return;
   }
   Emit(pending, routed.reply, simple);
-  KeepSettings(pending, routed.reply);
+  SaveSettings(pending, routed.reply);
   status_ = routed.reply.status;
   if (routed.committed) {
     AnnounceToken();
   }
   if (status_ == TransactionStatus::kIdle) {
-    ForgetRequestId();
+    ClearRequestId();
   }
 }
 
-void Session::ForgetRequestId() {
+void Session::ClearRequestId() {
   // An id goes with one request only: on the next one it would vouch for the wrong statements.
   if (request_recorded_) {
     last_request_id_ = std::exchange(route_.request_id, "");
@@ -556,7 +556,7 @@
       encoder_.Raw(*bytes);
       continue;
     }
-    const AnswerOf& place = std::get<AnswerOf>(item);
+    const StatementOutput& place = std::get<StatementOutput>(item);
     const pool::StatementAnswer& answer = reply.answers[place.statement];
     if (answer.error) {
       encoder_.ErrorResponse(*answer.error);
@@ -575,7 +575,7 @@
   }
 }
 
-void Session::KeepSettings(const PendingBatch& pending, const pool::BatchReply& reply) {
+void Session::SaveSettings(const PendingBatch& pending, const pool::BatchReply& reply) {
   for (std::size_t i = 0; i < pending.classes.size(); ++i) {
     const Classification& statement = pending.classes[i];
     if (reply.answers[i].error || pending.statements[i].describe_only || statement.local) {
--- a/src/gateway/session.h
+++ b/src/gateway/session.h
@@ -28,9 +28,9 @@
 
 /// Limits of sessions; see docs/operators/gateway.md.
 struct SessionSettings {
-  std::size_t largest_message_bytes = std::size_t{16} << 20U;
-  std::size_t largest_pipeline = 10'000;   // statements before a Sync
-  std::size_t prepared_statements = 1000;  // of one session
+  std::size_t max_message_bytes = std::size_t{16} << 20U;
+  std::size_t max_pipeline_messages = 10'000;  // statements before a Sync
+  std::size_t prepared_statements = 1000;      // of one session
   common::Duration default_deadline{10'000'000};
 };
 
@@ -93,12 +93,12 @@
     bool describe = false;  // the caller asked for the columns before the rows
   };
   /// Bytes to send as they are, or the answer of a statement of the pending batch.
-  struct AnswerOf {
+  struct StatementOutput {
     std::size_t statement = 0;
     bool describe = false;  // send the columns too
     bool only_describe = false;
   };
-  using OutputItem = std::variant<std::string, AnswerOf>;
+  using OutputItem = std::variant<std::string, StatementOutput>;
 
   /// Work collected until Sync.
   struct PendingBatch {
@@ -109,11 +109,11 @@
   };
 
   /// @return true if nothing is in progress and no part of a message has come.
-  bool Rests() const { return !Busy() && decoder_.BufferedBytes() == 0; }
+  bool IsIdle() const { return !Busy() && decoder_.BufferedBytes() == 0; }
   asio::awaitable<bool> ReadMore();
   asio::awaitable<bool> Flush();
   void End();
-  asio::awaitable<void> Linger();
+  asio::awaitable<void> DiscardUntilClosed();
   asio::awaitable<bool> Startup();
   asio::awaitable<bool> Open(wire::StartupMessage message);
   asio::awaitable<bool> Serve();
@@ -134,9 +134,9 @@
   std::string ShowOwnSetting(const std::string& name) const;
   std::optional<wire::ErrorFields> ApplyStartupOptions(const std::string& options);
   void FailPipeline(wire::ErrorFields error);
-  void ForgetRequestId();
+  void ClearRequestId();
   void Emit(const PendingBatch& pending, const pool::BatchReply& reply, bool simple);
-  void KeepSettings(const PendingBatch& pending, const pool::BatchReply& reply);
+  void SaveSettings(const PendingBatch& pending, const pool::BatchReply& reply);
   void AnnounceToken();
   wire::TransactionStatus Status() const { return status_; }
   asio::awaitable<bool> SendFatal(wire::ErrorFields error);
--- a/src/gateway/session_parts.h
+++ b/src/gateway/session_parts.h
@@ -21,7 +21,7 @@
 inline constexpr std::string_view kOutcomeSetting = "valvekeel.request_outcome";
 
 /// Last message to a caller's session when the daemon stops.
-inline constexpr std::string_view kFarewell = "this proxy is stopping; connect to another";
+inline constexpr std::string_view kStoppingMessage = "this proxy is stopping; connect to another";
 
 /// Type number of PostgreSQL's text.
 inline constexpr wire::TypeId kTextType = 25;
--- a/src/gateway/session_settings.cc
+++ b/src/gateway/session_settings.cc
@@ -119,7 +119,7 @@
     route_.database = route_.share_group;
   }
   if (services_.stopping) {
-    co_return co_await SendFatal(MakeError(common::kAdminShutdown, std::string(kFarewell)));
+    co_return co_await SendFatal(MakeError(common::kAdminShutdown, std::string(kStoppingMessage)));
   }
   if (!services_.backends.View(route_.database)) {
     co_return co_await SendFatal(
--- a/tests/gateway/session_test.cc
+++ b/tests/gateway/session_test.cc
@@ -42,8 +42,8 @@
                         .RETURN(_1 == "db" ? std::make_optional(ThreeInstances()) : std::nullopt));
     keep_.push_back(NAMED_ALLOW_CALL(backends, ShareGroup(_))
                         .RETURN(_1 == "alpha" ? std::make_optional(Alpha()) : std::nullopt));
-    keep_.push_back(NAMED_ALLOW_CALL(backends, NoteReplayed(_, _, _)));
-    keep_.push_back(NAMED_ALLOW_CALL(backends, NoteUnreachable(_, _)));
+    keep_.push_back(NAMED_ALLOW_CALL(backends, RecordReplayed(_, _, _)));
+    keep_.push_back(NAMED_ALLOW_CALL(backends, RecordUnreachable(_, _)));
     keep_.push_back(NAMED_ALLOW_CALL(backends, Release(_)));
     keep_.push_back(NAMED_ALLOW_CALL(backends, Barrier(_)).LR_RETURN(Return(ConfirmedBarrier())));
     keep_.push_back(NAMED_ALLOW_CALL(backends, Execute(_)).LR_RETURN(AnswerInTime(_1)));
@@ -306,7 +306,7 @@
   const std::string received = caller.ReadToTheEnd(fixture.loop);
   INFO(received.size() << " bytes arrived");
   CHECK(received.find(rows) != std::string::npos);
-  CHECK(received.find(kFarewell) != std::string::npos);
+  CHECK(received.find(kStoppingMessage) != std::string::npos);
   CHECK(fixture.requests.size() == 1);
 }
 
@@ -325,7 +325,7 @@
   const std::string received = caller.ReadToTheEnd(fixture.loop);
   INFO(received.size() << " bytes arrived");
   CHECK(received.find(rows) != std::string::npos);
-  CHECK(received.find(kFarewell) != std::string::npos);
+  CHECK(received.find(kStoppingMessage) != std::string::npos);
 }
 
 TEST_CASE("Prepared statements go over any connection, unnamed, with their parameters",
--- a/tests/support/mock_backends.h
+++ b/tests/support/mock_backends.h
@@ -18,9 +18,9 @@
   MAKE_MOCK1(Release, void(const pool::ReleaseRequest&), override);
   MAKE_MOCK1(Cancel, void(const pool::CancelStatementRequest&), override);
   MAKE_MOCK2(WaitForChange, asio::awaitable<void>(std::string, common::Duration), override);
-  MAKE_MOCK3(NoteReplayed, void(const std::string&, const std::string&, common::Position),
+  MAKE_MOCK3(RecordReplayed, void(const std::string&, const std::string&, common::Position),
              override);
-  MAKE_MOCK2(NoteUnreachable, void(const std::string&, const std::string&), override);
+  MAKE_MOCK2(RecordUnreachable, void(const std::string&, const std::string&), override);
 };
 
 /// @return a coroutine that returns the value.
