--- a/src/daemon/daemon_settings.cc
+++ b/src/daemon/daemon_settings.cc
@@ -128,7 +128,7 @@
               out.routing.retry_reserve,
               [&out](double value) { out.routing.retry_reserve = value; });
   Number(schema, "routing.waiting_writes", "writes", "writes that may wait for a primary", 0,
-         kMostWrites, &out.routing.waiting_writes);
+         kMostWrites, &out.routing.max_waiting_writes);
   schema.Choice("routing.read_policy", "position, or primary for measurements against a baseline",
                 {"position", "primary"}, "position", [&out](const std::string& value) {
                   out.routing.read_policy = value == "primary" ? routing::ReadPolicy::kPrimaryOnly
@@ -139,7 +139,7 @@
   Number(schema, "gateway.largest_pipeline", "messages", "messages of a caller before a Sync", 10,
          kMostWrites, &out.sessions.max_pipeline_messages);
   Number(schema, "gateway.prepared_statements", "statements", "prepared statements of a session", 1,
-         kMostWrites, &out.sessions.prepared_statements);
+         kMostWrites, &out.sessions.max_prepared_statements);
   Time(schema, "gateway.default_deadline_ms", "time until a request must have started", 1,
        &out.sessions.default_deadline);
 }
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -1,7 +1,7 @@
-// What a gateway needs from the rest of the daemon.
+// Interface through which a gateway uses the rest of the daemon: topology, execution of batches,
+// position barriers and cancellation.
 //
-// Owns: nothing (interface). Invariant: Execute answers every request exactly once. Thread: the
-// event loop's.
+// Execute answers every request exactly once. All calls are made on the event loop's thread.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -22,7 +22,7 @@
   Backends& operator=(const Backends&) = delete;
   virtual ~Backends() = default;
 
-  /// @return the database group as known now, or nothing if it is not declared.
+  /// @return the current view of the database group, or nothing if it is not declared.
   virtual std::optional<routing::DatabaseView> View(const std::string& database) const = 0;
 
   /// @return the group of callers with this name, or nothing if it is not declared.
@@ -35,15 +35,19 @@
   /// Asks the owner of the instance named in it for a position barrier.
   virtual asio::awaitable<pool::BarrierReply> Barrier(pool::BarrierRequest request) = 0;
 
+  /// Releases the session's connection at an instance; an open transaction is rolled back.
   virtual void Release(const pool::ReleaseRequest& request) = 0;
+  /// Cancels the session's statement if the instance named in the request is running it.
   virtual void Cancel(const pool::CancelStatementRequest& request) = 0;
 
-  /// Waits until the database group's topology or configuration changes, or the limit passes.
+  /// Waits until the database group's topology or configuration changes, or the limit has
+  /// passed.
   virtual asio::awaitable<void> WaitForChange(std::string database, common::Duration limit) = 0;
 
-  /// Notes for routing what an instance has replayed, or that it should be avoided for a while.
+  /// Records the position that an instance has replayed, for the routing of reads.
   virtual void RecordReplayed(const std::string& database, const std::string& instance,
                               common::Position replayed) = 0;
+  /// Records that an instance is unreachable, so that routing avoids it for a while.
   virtual void RecordUnreachable(const std::string& database, const std::string& instance) = 0;
 };
 
--- a/src/gateway/batch_router.cc
+++ b/src/gateway/batch_router.cc
@@ -23,7 +23,7 @@
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr Duration kRetryAfterNoPrimary{500'000};
 
-BatchReply RefusedHere(Refusal refusal, std::string reason, Duration retry_after) {
+BatchReply MakeRefusal(Refusal refusal, std::string reason, Duration retry_after) {
   BatchReply reply;
   reply.outcome = Outcome::kRefused;
   reply.refusal = refusal;
@@ -116,7 +116,7 @@
 
   if (reply.outcome == Outcome::kUnknown && !batch.may_commit) {
     reply =
-        RefusedHere(Refusal::kTransactionLost,
+        MakeRefusal(Refusal::kTransactionLost,
                     absl::StrCat("the transaction was rolled back: ", reply.reason), Duration{0});
   }
   RoutedReply routed;
@@ -152,7 +152,7 @@
   co_return reply;
 }
 
-awaitable<bool> BatchRouter::PassBarrier(SessionRoute& route, Instant deadline) {
+awaitable<bool> BatchRouter::ConfirmBarrier(SessionRoute& route, Instant deadline) {
   ++counters_.barriers;
   while (SteadyNow() < deadline) {
     const auto view = backends_.View(route.database);
@@ -179,21 +179,21 @@
   ++counters_.reads;
   const bool by_position = settings_.read_policy == routing::ReadPolicy::kByPosition;
   if (by_position && route.barrier_needed) {
-    const bool passed = co_await PassBarrier(route, deadline);
+    const bool passed = co_await ConfirmBarrier(route, deadline);
     if (!passed) {
-      co_return RefusedHere(Refusal::kUnreachable,
+      co_return MakeRefusal(Refusal::kUnreachable,
                             "no primary confirmed a position for this session's first read",
                             kRetryAfterNoPrimary);
     }
   }
   request.required = route.required;
   BatchReply last =
-      RefusedHere(Refusal::kUnreachable, "no instance can serve the read", kRetryAfterNoPrimary);
+      MakeRefusal(Refusal::kUnreachable, "no instance can serve the read", kRetryAfterNoPrimary);
   bool first = true;
   while (SteadyNow() < deadline) {
     const auto view = backends_.View(route.database);
     if (!view) {
-      co_return RefusedHere(Refusal::kUnreachable, "the database is not declared",
+      co_return MakeRefusal(Refusal::kUnreachable, "the database is not declared",
                             kRetryAfterNoPrimary);
     }
     const routing::ReadRequirements needs{route.required, settings_.zone, route.preferred_replica,
@@ -208,7 +208,8 @@
       RecordOutcome(route, reply, instance);
       const bool rerouted = reply.outcome == Outcome::kDone && !primary && RefusedAsReadOnly(reply);
       if (rerouted && reply.status == wire::TransactionStatus::kIdle) {
-        // The database says that the statement writes; it did not run and goes to the primary.
+        // The replica refused the statement because it writes. It did not run, so it is sent to
+        // the primary.
         --counters_.reads;
         co_return co_await RunWrite(route, std::move(request), deadline);
       }
@@ -246,7 +247,7 @@
                                             Instant deadline) {
   ++counters_.writes;
   request.access = Access::kWrite;
-  BatchReply last = RefusedHere(Refusal::kUnreachable, "no primary is known", kRetryAfterNoPrimary);
+  BatchReply last = MakeRefusal(Refusal::kUnreachable, "no primary is known", kRetryAfterNoPrimary);
   while (SteadyNow() < deadline) {
     const auto view = backends_.View(route.database);
     const auto primary = view ? routing::ReadWriteSplit::WriteTarget(*view) : std::nullopt;
@@ -271,8 +272,8 @@
       ++counters_.retries;
       last = std::move(reply);
     }
-    if (waiting_writes_ >= settings_.waiting_writes) {
-      co_return RefusedHere(Refusal::kOverloaded, "too many writes wait for a primary",
+    if (waiting_writes_ >= settings_.max_waiting_writes) {
+      co_return MakeRefusal(Refusal::kOverloaded, "too many writes wait for a primary",
                             kRetryAfterNoPrimary);
     }
     ++waiting_writes_;
--- a/src/gateway/batch_router.h
+++ b/src/gateway/batch_router.h
@@ -1,8 +1,8 @@
-// Takes a session's batch to an instance: where it runs, and when it is tried again.
+// Routes a session's batch to an instance and decides whether it is retried.
 //
-// Owns: the retry budgets. Invariant: a batch that may have run is tried again only if it only
-// reads or its caller marked it repeatable; every batch gets one final answer as soon as it is
-// given up. Thread: the event loop's.
+// Owns: the retry budgets. A batch that may have run is retried only if it only reads or its caller
+// marked it repeatable. Every batch gets exactly one final answer. All calls are made on the event
+// loop's thread.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -24,39 +24,39 @@
 struct RoutingSettings {
   std::string zone;
   routing::ReadPolicy read_policy = routing::ReadPolicy::kByPosition;
-  common::Duration read_wait{150'000};   // longest wait for a replica to catch up
-  common::Duration change_poll{20'000};  // pause before trying a write again
+  common::Duration read_wait{150'000};   // maximum wait for a replica to catch up
+  common::Duration change_poll{20'000};  // maximum wait for a topology change between attempts
   double retry_fraction = 0.2;
   double retry_reserve = 100.0;
-  std::size_t waiting_writes = 1000;  // writes that wait for a primary at one time
+  std::size_t max_waiting_writes = 1000;  // writes that may wait for a primary at the same time
 };
 
-/// What the router keeps of a session between its batches.
+/// Routing state of a session, kept between its batches.
 struct SessionRoute {
   pool::SessionNumber number = 0;
   std::string database;
   std::string share_group;
-  common::Position required;   // what its reads must see
-  bool barrier_needed = true;  // no position is known for it yet
+  common::Position required;   // minimum position that its reads must see
+  bool barrier_needed = true;  // no minimum position is known yet
   std::string preferred_replica;
-  std::string transaction_instance;  // where its transaction is open, empty if none
+  std::string transaction_instance;  // instance of its open transaction, empty if none
   bool transaction_wrote = false;
-  common::Duration budget{10'000'000};  // until a batch must have started
+  common::Duration budget{10'000'000};  // time within which a batch must have started
   common::Duration max_staleness{0};    // 0: any
   bool repeatable = false;
   std::string request_id;
 };
 
-/// A batch as the session hands it over.
+/// Statements that a session submits together, with what routing needs to know of them.
 struct SessionBatch {
   std::vector<pool::Statement> statements;
   std::vector<pool::SessionSetting> settings;
   bool reads_only = false;
   bool opens_read_only = false;  // starts a READ ONLY transaction
   bool changes_settings = false;
-  bool records_request = false;    // writes, so the session's request id goes with it
+  bool records_request = false;    // it writes: the session's request id is sent with it
   bool opens_transaction = false;  // the first statement is BEGIN
-  bool may_commit = true;          // false: a lost connection has certainly rolled it back
+  bool may_commit = true;          // false: a lost connection always rolls it back
 };
 
 /// Final answer to a batch.
@@ -77,12 +77,14 @@
   std::uint64_t unknown = 0;
 };
 
+/// Runs batches of all sessions of one gateway.
 class BatchRouter {
  public:
   BatchRouter(Backends& backends, RoutingSettings settings)
       : backends_(backends), settings_(std::move(settings)), split_(settings_.read_policy) {}
 
-  /// Runs the batch and updates the session's route.
+  /// Runs the batch and updates the session's route. The reply holds an error if the batch was
+  /// refused or its outcome is unknown.
   asio::awaitable<RoutedReply> Run(SessionRoute& route, SessionBatch batch);
 
   const RoutingCounters& Counters() const { return counters_; }
@@ -94,7 +96,9 @@
                                             common::Instant deadline);
   asio::awaitable<pool::BatchReply> RunWrite(SessionRoute& route, pool::BatchRequest request,
                                              common::Instant deadline);
-  asio::awaitable<bool> PassBarrier(SessionRoute& route, common::Instant deadline);
+  /// Asks the primary for its position until it confirms one or the deadline has passed.
+  /// @return true if a position was confirmed; the route then requires it.
+  asio::awaitable<bool> ConfirmBarrier(SessionRoute& route, common::Instant deadline);
   routing::RetryBudget& BudgetOf(const std::string& group);
   void RecordOutcome(const SessionRoute& route, const pool::BatchReply& reply,
                      const std::string& instance);
--- a/src/gateway/server.cc
+++ b/src/gateway/server.cc
@@ -19,8 +19,8 @@
 using asio::use_awaitable;
 using asio::ip::tcp;
 
-constexpr std::size_t kCachedTexts = 2000;
-constexpr std::size_t kLongestCachedText = 10'000;
+constexpr std::size_t kMaxCachedTexts = 2000;
+constexpr std::size_t kMaxCachedTextBytes = 10'000;
 
 std::uint32_t RandomKey() {
   static absl::BitGen generator;
@@ -35,7 +35,7 @@
       backends_(backends),
       session_settings_(sessions),
       router_(backends, std::move(routing)),
-      cache_(kCachedTexts, kLongestCachedText),
+      cache_(kMaxCachedTexts, kMaxCachedTextBytes),
       acceptor_(loop) {}
 
 Server::~Server() = default;
--- a/src/gateway/server.h
+++ b/src/gateway/server.h
@@ -1,7 +1,8 @@
-// Accepts callers and keeps their sessions.
+// Accepts callers' connections and serves a session on each.
 //
-// Owns: the listening socket and all sessions of this daemon. Invariant: while stopping, no new
-// session is accepted and no request in progress is cut off. Thread: the event loop's.
+// Owns: the listening socket and all sessions of this daemon. During a planned stop no new session
+// is accepted and no request in progress is interrupted. All calls are made on the event loop's
+// thread.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -17,10 +18,12 @@
 
 namespace valvekeel::gateway {
 
+/// Why the server cannot listen.
 struct ServerError {
   std::string reason;
 };
 
+/// Listening socket of the gateway, with the sessions accepted from it.
 class Server {
  public:
   Server(asio::io_context& loop, Backends& backends, RoutingSettings routing,
@@ -29,7 +32,8 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// @return the port bound to, or the error.
+  /// Starts to accept callers; port 0 takes any free port.
+  /// @return the port bound to, or why the server cannot listen.
   common::Result<std::uint16_t, ServerError> Listen(const std::string& host, std::uint16_t port);
 
   /// Stops accepting and ends sessions as they become idle.
@@ -44,6 +48,7 @@
   std::size_t BusySessions() const;
 
   const RoutingCounters& Routing() const { return router_.Counters(); }
+  /// @return the number of sessions accepted since the start.
   std::uint64_t AcceptedSessions() const { return next_session_ - 1; }
 
  private:
--- a/src/gateway/session.cc
+++ b/src/gateway/session.cc
@@ -46,7 +46,7 @@
   return false;
 }
 
-/// Buffer that all sessions read through, so that an idle session holds none.
+/// Read buffer shared by all sessions, so that an idle session needs none of its own.
 std::array<char, kReadBytes>& SharedReadBuffer() {
   static std::array<char, kReadBytes> buffer;
   return buffer;
@@ -95,8 +95,8 @@
   }
   const std::string bytes = encoder_.Take();
   asio::error_code error;
-  // A planned stop waits for it: a farewell in its midst broke off an answer of 25 MB after 4 MB
-  // (real sockets, a caller that reads late).
+  // A planned stop waits while sending_ is set. Otherwise its final error is written into the
+  // middle of the answer: with a caller that reads late, an answer of 25 MB ended after 4 MB.
   sending_ = true;
   co_await asio::async_write(socket_, asio::buffer(bytes), redirect_error(use_awaitable, error));
   sending_ = false;
@@ -108,9 +108,9 @@
   encoder_.ErrorResponse(error);
   co_await Flush();
   if (services_.stopping) {
-    // Closed at once, with something of the caller unread, the socket would take along the answers
-    // before this: of 65 KB, 2.3 KB arrived (real sockets, a caller that reads late).
-    End();
+    // Closing the socket with unread input resets the connection and discards answers not yet
+    // delivered: with a caller that reads late, 2.3 KB of 65 KB arrived.
+    ShutdownSend();
   }
   co_return false;
 }
@@ -123,8 +123,8 @@
 
 void Session::Cancel() {
   if (busy_) {
-    // Where the statement runs is known only inside a transaction; owners ignore what they do not
-    // run, so every instance of the group is told.
+    // The instance that runs the statement is known only inside a transaction. The request goes to
+    // every instance of the group; owners ignore it if they do not run the statement.
     const auto view = services_.backends.View(route_.database);
     if (!view) {
       return;
@@ -138,26 +138,27 @@
 void Session::Stop() {
   stopping_ = true;
   if (!Busy() && !ended_) {
-    wire::Encoder farewell;
-    farewell.ErrorResponse(
+    wire::Encoder final_error;
+    final_error.ErrorResponse(
         {std::string(common::kAdminShutdown), std::string(kStoppingMessage), "", "FATAL"});
-    const std::string bytes = farewell.Take();
+    const std::string bytes = final_error.Take();
     asio::error_code ignored;
     socket_.write_some(asio::buffer(bytes), ignored);
-    End();
+    ShutdownSend();
   }
 }
 
-void Session::End() {
-  // From here on nothing of this caller runs, whatever arrives: the farewell promises it.
+void Session::ShutdownSend() {
+  // The final error promises the caller that no later request runs, so all further input is
+  // discarded.
   ended_ = true;
   asio::error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
 awaitable<void> Session::DiscardUntilClosed() {
-  // A socket closed with unread data resets the connection, and the caller might lose the farewell.
-  // So what still comes is read and dropped, until the caller closes or this daemon ends.
+  // Closing a socket with unread input resets the connection, and the caller could lose the final
+  // error. Input is therefore read and discarded until the caller closes or this daemon exits.
   auto& buffer = SharedReadBuffer();
   asio::error_code error;
   while (!error) {
@@ -175,7 +176,7 @@
   const auto self = shared_from_this();
   bool open = co_await Startup();
   while (open) {
-    // Looked at before each message: the stop may have begun while the last answer was sent.
+    // Checked before each message: the stop may have begun while the last answer was being sent.
     if (stopping_ && IsIdle()) {
       open = co_await SendFatal(MakeError(common::kAdminShutdown, std::string(kStoppingMessage)));
     } else {
@@ -276,7 +277,7 @@
         "42P05", absl::StrCat("prepared statement \"", message.statement, "\" already exists")));
     return;
   }
-  if (!replaces && statements_.size() >= services_.settings.prepared_statements) {
+  if (!replaces && statements_.size() >= services_.settings.max_prepared_statements) {
     FailPipeline(
         MakeError(common::kProgramLimitExceeded, "the session has too many prepared statements"));
     return;
@@ -323,7 +324,7 @@
                              absl::StrCat("portal \"", message.name, "\" does not exist")));
       return;
     }
-    // The columns come with the rows, so the answer waits for Execute.
+    // The column descriptions arrive with the rows, so the answer is sent at Execute.
     portal->second.describe = true;
     return;
   }
@@ -421,7 +422,7 @@
     statement.parameters.emplace_back(route_.request_id.empty() ? last_request_id_
                                                                 : route_.request_id);
     classification.kind = StatementKind::kRead;
-    pending_.needs_primary = true;  // only a confirmed primary can tell
+    pending_.needs_primary = true;  // a replica may not have replayed the record yet
   }
   pending_.output.emplace_back(StatementOutput{pending_.statements.size(), describe, false});
   pending_.statements.push_back(std::move(statement));
@@ -466,12 +467,13 @@
 awaitable<void> Session::RunPending(bool simple) {
   PendingBatch pending = std::exchange(pending_, {});
   if (pipeline_error_) {
-    // Nothing of a pipeline with a fault runs: it would be rolled back as a whole anyway.
+    // No statement of a pipeline with an error runs: all would be rolled back anyway.
     encoder_.ErrorResponse(*pipeline_error_);
     pipeline_error_.reset();
     skip_until_sync_ = !simple;
     if (status_ == TransactionStatus::kInTransaction && !route_.transaction_instance.empty()) {
-      // The database has not seen the error, so the transaction is ended here.
+      // The database did not receive the failed statement and keeps the transaction open, so it is
+      // ended here.
       services_.backends.Release({route_.database, route_.transaction_instance, route_.number});
       route_.transaction_instance.clear();
       route_.transaction_wrote = false;
@@ -489,7 +491,8 @@
       skip_until_sync_ = !simple;
       co_return;
     }
-    // The transaction was rolled back when it was lost; its end is answered here.
+    // The transaction was rolled back when its connection was lost; COMMIT and ROLLBACK are
+    // answered here.
     status_ = TransactionStatus::kIdle;
     encoder_.Raw(Completed("ROLLBACK"));
     co_return;
@@ -543,7 +546,8 @@
 }
 
 void Session::ClearRequestId() {
-  // An id goes with one request only: on the next one it would vouch for the wrong statements.
+  // A request id belongs to one request only. If it were sent with the next one too, the outcome
+  // reported for it would be that of the wrong statements.
   if (request_recorded_) {
     last_request_id_ = std::exchange(route_.request_id, "");
     request_recorded_ = false;
@@ -556,20 +560,20 @@
       encoder_.Raw(*bytes);
       continue;
     }
-    const StatementOutput& place = std::get<StatementOutput>(item);
-    const pool::StatementAnswer& answer = reply.answers[place.statement];
+    const StatementOutput& output = std::get<StatementOutput>(item);
+    const pool::StatementAnswer& answer = reply.answers[output.statement];
     if (answer.error) {
       encoder_.ErrorResponse(*answer.error);
       skip_until_sync_ = !simple;
       return;
     }
-    if (place.describe) {
+    if (output.describe) {
       encoder_.Raw(answer.description);
       if (answer.description.empty() && !simple) {
         encoder_.NoData();
       }
     }
-    if (!place.only_describe) {
+    if (!output.only_describe) {
       encoder_.Raw(answer.rows);
     }
   }
--- a/src/gateway/session.h
+++ b/src/gateway/session.h
@@ -1,8 +1,8 @@
 // One caller's session: the server side of the PostgreSQL protocol.
 //
-// Owns: the caller's socket, prepared statements, portals and settings. Invariant: answers go out
-// in the order of the requests; a protocol error closes this session only. Thread: the event
-// loop's.
+// Owns: the caller's socket, prepared statements, portals and settings. Answers are sent in the
+// order of the requests. A protocol error closes this session only. All calls are made on the event
+// loop's thread.
 #pragma once
 
 #include <asio/awaitable.hpp>
@@ -29,12 +29,12 @@
 /// Limits of sessions; see docs/operators/gateway.md.
 struct SessionSettings {
   std::size_t max_message_bytes = std::size_t{16} << 20U;
-  std::size_t max_pipeline_messages = 10'000;  // statements before a Sync
-  std::size_t prepared_statements = 1000;      // of one session
+  std::size_t max_pipeline_messages = 10'000;  // messages before a Sync
+  std::size_t max_prepared_statements = 1000;  // of one session
   common::Duration default_deadline{10'000'000};
 };
 
-/// What sessions of one gateway share.
+/// References to what all sessions of one gateway share.
 struct SessionServices {
   asio::io_context& loop;
   Backends& backends;
@@ -52,6 +52,7 @@
   auto operator<=>(const CancelKey&) const = default;
 };
 
+/// Session of one caller, from its startup message until its connection is closed.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   using CancelHandler = std::function<void(const CancelKey&)>;
@@ -62,13 +63,13 @@
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
 
-  /// Serves the caller until it leaves.
+  /// Serves the caller until either side ends the session.
   asio::awaitable<void> Run();
 
   /// Cancels the statement in progress.
   void Cancel();
 
-  /// Ends the session if it is idle, else once its transaction has ended.
+  /// Ends the session at once if it is idle, else when its request or transaction has ended.
   void Stop();
 
   /// Closes the socket at once.
@@ -92,27 +93,32 @@
     wire::FormatCode result_format = wire::kTextFormat;
     bool describe = false;  // the caller asked for the columns before the rows
   };
-  /// Bytes to send as they are, or the answer of a statement of the pending batch.
+  /// Refers to the answer of a statement of the pending batch.
   struct StatementOutput {
     std::size_t statement = 0;
-    bool describe = false;  // send the columns too
-    bool only_describe = false;
+    bool describe = false;       // send the column descriptions before the rows
+    bool only_describe = false;  // send no rows
   };
+  /// Encoded messages, or a reference to the answer that is sent in this place.
   using OutputItem = std::variant<std::string, StatementOutput>;
 
-  /// Work collected until Sync.
+  /// Statements and their output, collected until Sync or Flush.
   struct PendingBatch {
     std::vector<pool::Statement> statements;
     std::vector<sql::Classification> classes;
     std::vector<OutputItem> output;
-    bool needs_primary = false;  // although its statements only read
+    bool needs_primary = false;  // set if a replica could not answer its reads
   };
 
-  /// @return true if nothing is in progress and no part of a message has come.
+  /// @return true if nothing is in progress and no part of a message has been received.
   bool IsIdle() const { return !Busy() && decoder_.BufferedBytes() == 0; }
+  /// Waits for input and reads it. @return false if the connection has ended.
   asio::awaitable<bool> ReadMore();
+  /// Sends the encoded messages. @return false if the connection has failed.
   asio::awaitable<bool> Flush();
-  void End();
+  /// Closes the sending side; no further request of the caller runs.
+  void ShutdownSend();
+  /// Reads and discards input until the caller closes the connection.
   asio::awaitable<void> DiscardUntilClosed();
   asio::awaitable<bool> Startup();
   asio::awaitable<bool> Open(wire::StartupMessage message);
@@ -151,17 +157,18 @@
   wire::TransactionStatus status_ = wire::TransactionStatus::kIdle;
   std::map<std::string, PreparedStatement> statements_;
   std::map<std::string, Portal> portals_;
-  std::map<std::string, std::string> settings_;  // of the database, kept across connections
+  std::map<std::string, std::string>
+      settings_;  // database settings, applied on each database connection
   PendingBatch pending_;
   std::optional<wire::ErrorFields> pipeline_error_;
   std::string announced_token_;
-  bool request_recorded_ = false;  // the request id went out with a batch
+  bool request_recorded_ = false;  // the request id was sent with a batch
   std::string last_request_id_;    // for SHOW valvekeel.request_outcome
   bool skip_until_sync_ = false;
   bool busy_ = false;
   bool sending_ = false;
   bool stopping_ = false;
-  bool ended_ = false;  // the farewell was sent
+  bool ended_ = false;  // the final error was sent and the sending side is closed
 };
 
 }  // namespace valvekeel::gateway
--- a/src/gateway/session_parts.h
+++ b/src/gateway/session_parts.h
@@ -1,6 +1,6 @@
-// Shared by the parts of a session: session.cc and session_settings.cc.
+// Constants and helpers shared by session.cc and session_settings.cc.
 //
-// Owns: nothing. Invariant: none. Thread: any.
+// No state; usable from any thread.
 #pragma once
 
 #include <absl/strings/string_view.h>
@@ -14,16 +14,16 @@
 
 namespace valvekeel::gateway {
 
-/// Settings that begin so are valvekeel's own.
+/// Prefix of the settings that valvekeel itself answers.
 inline constexpr absl::string_view kOwnPrefix = "valvekeel.";
 
-/// Tells, by SHOW, whether the last request id was recorded; the database is asked.
+/// SHOW of this setting asks the database whether the last request id was recorded.
 inline constexpr std::string_view kOutcomeSetting = "valvekeel.request_outcome";
 
-/// Last message to a caller's session when the daemon stops.
+/// Text of the last error sent to a session at a planned stop of the daemon.
 inline constexpr std::string_view kStoppingMessage = "this proxy is stopping; connect to another";
 
-/// Type number of PostgreSQL's text.
+/// OID of PostgreSQL's type text.
 inline constexpr wire::TypeId kTextType = 25;
 
 /// @return an error that leaves the session open.
@@ -32,7 +32,7 @@
   return {std::string(sqlstate), std::move(message), std::move(detail), "ERROR"};
 }
 
-/// @return the bytes that end a statement without rows.
+/// @return an encoded CommandComplete message, the answer of a statement without rows.
 inline std::string Completed(std::string_view tag) {
   wire::Encoder encoder;
   encoder.CommandComplete(tag);
--- a/src/gateway/session_settings.cc
+++ b/src/gateway/session_settings.cc
@@ -1,4 +1,5 @@
-// A session's start and its settings of valvekeel's own; the rest is in session.cc.
+// Startup of a session and the settings that valvekeel itself answers; the rest of the session is
+// in session.cc.
 
 #include <absl/strings/match.h>
 #include <absl/strings/numbers.h>
@@ -31,8 +32,8 @@
 constexpr std::string_view kDeadlineSetting = "valvekeel.deadline_ms";
 constexpr std::string_view kStalenessSetting = "valvekeel.max_staleness_ms";
 constexpr std::string_view kServerVersion = "15.0";
-constexpr std::int64_t kLongestMilliseconds = 24LL * 3600 * 1000;
-constexpr std::size_t kLongestRequestId = 200;
+constexpr std::int64_t kMaxMilliseconds = 24LL * 3600 * 1000;
+constexpr std::size_t kMaxRequestIdBytes = 200;
 
 ErrorFields InvalidValue(std::string_view name, std::string_view value, std::string_view reason) {
   return MakeError(common::kInvalidParameter,
@@ -51,7 +52,7 @@
 bool ParseMilliseconds(const std::string& text, common::Duration* duration) {
   std::int64_t milliseconds = 0;
   if (!absl::SimpleAtoi(text, &milliseconds) || milliseconds < 0 ||
-      milliseconds > kLongestMilliseconds) {
+      milliseconds > kMaxMilliseconds) {
     return false;
   }
   *duration = std::chrono::milliseconds(milliseconds);
@@ -71,7 +72,8 @@
   return encoder.Take();
 }
 
-/// Startup parameters that say who connects, or that a shared connection does not take over.
+/// @return true for startup parameters that identify the caller or that are not applied to shared
+/// database connections.
 bool IsConnectionParameter(const std::string& name) {
   return name == "user" || name == "database" || name == "options" || name == "replication" ||
          name == "application_name" || absl::StartsWith(name, "_pq_.");
@@ -209,7 +211,7 @@
     return std::nullopt;
   }
   if (name == kRequestIdSetting) {
-    if (value.size() > kLongestRequestId) {
+    if (value.size() > kMaxRequestIdBytes) {
       return InvalidValue(name, value, "longer than 200 bytes");
     }
     route_.request_id = value;
@@ -251,7 +253,8 @@
   return absl::StrCat(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
-/// Answers statements about valvekeel's own settings; other statements get nothing.
+/// Answers statements about valvekeel's own settings.
+/// @return the encoded answer, or nothing for other statements and if *error is set.
 std::optional<std::string> Session::AnswerLocally(const Classification& statement, bool describe,
                                                   std::optional<ErrorFields>* error) {
   if (statement.kind == StatementKind::kUnsupported) {
--- a/tests/gateway/session_test.cc
+++ b/tests/gateway/session_test.cc
@@ -46,7 +46,7 @@
     keep_.push_back(NAMED_ALLOW_CALL(backends, RecordUnreachable(_, _)));
     keep_.push_back(NAMED_ALLOW_CALL(backends, Release(_)));
     keep_.push_back(NAMED_ALLOW_CALL(backends, Barrier(_)).LR_RETURN(Return(ConfirmedBarrier())));
-    keep_.push_back(NAMED_ALLOW_CALL(backends, Execute(_)).LR_RETURN(AnswerInTime(_1)));
+    keep_.push_back(NAMED_ALLOW_CALL(backends, Execute(_)).LR_RETURN(AnswerAfterWait(_1)));
   }
 
   ConnectionPointer Connect(const std::string& more = "") const {
@@ -56,7 +56,7 @@
     return {PQconnectdb(text.c_str()), PQfinish};
   }
 
-  /// Runs the client's code on a thread of its own while the loop serves it.
+  /// Runs the client's code on a separate thread while this thread runs the event loop.
   void RunClient(const std::function<void()>& client) {
     std::atomic<bool> done{false};
     std::thread thread([&] {
@@ -76,7 +76,7 @@
     return reply;
   }
 
-  /// Runs the loop until the condition holds, for a generous time at most.
+  /// Runs the loop until the condition holds, for 30 s at most.
   void RunUntil(const std::function<bool()>& condition) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(30);
     while (!condition() && std::chrono::steady_clock::now() < limit) {
@@ -85,7 +85,7 @@
     CHECK(condition());
   }
 
-  asio::awaitable<pool::BatchReply> AnswerInTime(pool::BatchRequest request) {
+  asio::awaitable<pool::BatchReply> AnswerAfterWait(pool::BatchRequest request) {
     pool::BatchReply reply = Answer(request);
     if (wait_on != nullptr) {
       asio::error_code ignored;
@@ -113,7 +113,7 @@
   Server server;
   std::uint16_t port = 0;
   std::vector<pool::BatchRequest> requests;
-  std::string rows;                       // before each statement's end, sent on as they are
+  std::string rows;                       // sent unchanged before each CommandComplete
   asio::steady_timer* wait_on = nullptr;  // each answer waits for it, if set
   pool::Outcome next_outcome = pool::Outcome::kDone;
 
@@ -121,15 +121,15 @@
   std::vector<std::unique_ptr<trompeloeil::expectation>> keep_;
 };
 
-/// Fits into the sending socket's buffer.
-constexpr std::size_t kBufferedAnswer = std::size_t{64} << 10U;
-/// Larger than what the sockets of both sides take at once.
-constexpr std::size_t kLargeAnswer = std::size_t{24} << 20U;
+/// Fits into the send buffer of a socket.
+constexpr std::size_t kBufferedAnswerBytes = std::size_t{64} << 10U;
+/// Larger than the socket buffers of both sides together.
+constexpr std::size_t kLargeAnswerBytes = std::size_t{24} << 20U;
 
-/// A caller that reads only when it is told to.
+/// Caller that speaks the protocol without libpq and reads only in ReadUntilClosed.
 class RawCaller {
  public:
-  /// @param small_buffer  its side takes next to nothing until it is read
+  /// @param small_buffer  use a receive buffer of 4 KB, so that unread answers stay with the daemon
   RawCaller(asio::io_context& loop, std::uint16_t port, bool small_buffer) : socket_(loop) {
     socket_.open(asio::ip::tcp::v4());
     if (small_buffer) {
@@ -143,7 +143,7 @@
 
   void SendQuery(const std::string& text) { SendMessage("Q", text + '\0'); }
 
-  /// Sends a statement, and Flush in place of Sync.
+  /// Sends a statement followed by Flush instead of Sync.
   void SendFlushed(const std::string& text) {
     SendMessage("P", '\0' + text + std::string(3, '\0'));
     SendMessage("B", std::string(8, '\0'));
@@ -151,11 +151,11 @@
     SendMessage("H", "");
   }
 
-  /// @return all that comes until the daemon ends the connection, orderly or not.
-  std::string ReadToTheEnd(asio::io_context& loop) {
+  /// @return the bytes received until the connection is closed or reset by the daemon.
+  std::string ReadUntilClosed(asio::io_context& loop) {
     std::string received;
     bool ended = false;
-    loop.restart();  // it may have run out of work
+    loop.restart();  // the loop may have stopped for lack of work
     asio::async_read(socket_, asio::dynamic_buffer(received),
                      [&](const asio::error_code&, std::size_t) { ended = true; });
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -184,7 +184,7 @@
   asio::ip::tcp::socket socket_;
 };
 
-std::string RunAndTellState(PGconn* connection, const std::string& text) {
+std::string RunAndGetSqlState(PGconn* connection, const std::string& text) {
   PGresult* result = PQexec(connection, text.c_str());
   const char* state = PQresultErrorField(result, PG_DIAG_SQLSTATE);
   const std::string copied = state == nullptr ? "" : state;
@@ -196,21 +196,22 @@
 
 TEST_CASE("A request id goes with one request only, also when its outcome is unknown",
           "[gateway]") {
-  // Found by the demo: after 08007 the next write of the session was recorded under the old id.
+  // Guards against an id that stays set after an unknown outcome (08007): the next write of the
+  // session would be recorded under it.
   SessionFixture fixture;
   fixture.RunClient([&] {
     const auto connection = fixture.Connect();
-    RunAndTellState(connection.get(), "SET valvekeel.request_id = 'first'");
+    RunAndGetSqlState(connection.get(), "SET valvekeel.request_id = 'first'");
     fixture.next_outcome = pool::Outcome::kUnknown;
-    CHECK(RunAndTellState(connection.get(), "INSERT INTO t VALUES (1)") == "08007");
-    CHECK(RunAndTellState(connection.get(), "UPDATE t SET v = 2").empty());
+    CHECK(RunAndGetSqlState(connection.get(), "INSERT INTO t VALUES (1)") == "08007");
+    CHECK(RunAndGetSqlState(connection.get(), "UPDATE t SET v = 2").empty());
   });
   REQUIRE(fixture.requests.size() == 2);
   CHECK(fixture.requests[0].request_id == "first");
   CHECK(fixture.requests[1].request_id.empty());
 }
 
-TEST_CASE("Sessions are refused by name with the SQLSTATE of the reason", "[gateway]") {
+TEST_CASE("Sessions are refused with an error that names the reason", "[gateway]") {
   SessionFixture fixture;
   fixture.RunClient([&] {
     CHECK(PQstatus(fixture.Connect().get()) == CONNECTION_OK);
@@ -228,12 +229,12 @@
   fixture.RunClient([&] {
     const auto connection = fixture.Connect();
     PGconn* session = connection.get();
-    CHECK(RunAndTellState(session, "SET valvekeel.session_token = 'rubbish'") == "22023");
-    CHECK(RunAndTellState(session, "SET valvekeel.session_token = 'vk1:other:1:0/1'") == "22023");
-    CHECK(RunAndTellState(session, "SET valvekeel.deadline_ms = 'soon'") == "22023");
-    CHECK(RunAndTellState(session, "SET valvekeel.unheard_of = 1") == "42704");
-    CHECK(RunAndTellState(session, "SET valvekeel.session_token = 'vk1:db:3:0/500'").empty());
-    CHECK(RunAndTellState(session, "SELECT 1").empty());
+    CHECK(RunAndGetSqlState(session, "SET valvekeel.session_token = 'rubbish'") == "22023");
+    CHECK(RunAndGetSqlState(session, "SET valvekeel.session_token = 'vk1:other:1:0/1'") == "22023");
+    CHECK(RunAndGetSqlState(session, "SET valvekeel.deadline_ms = 'soon'") == "22023");
+    CHECK(RunAndGetSqlState(session, "SET valvekeel.unheard_of = 1") == "42704");
+    CHECK(RunAndGetSqlState(session, "SET valvekeel.session_token = 'vk1:db:3:0/500'").empty());
+    CHECK(RunAndGetSqlState(session, "SELECT 1").empty());
   });
   REQUIRE(fixture.requests.size() == 1);
   CHECK(fixture.requests[0].required == common::Position{3, 0x500});
@@ -241,7 +242,7 @@
 
 TEST_CASE("A session without a token passes a barrier before its first read", "[gateway]") {
   SessionFixture fixture;
-  fixture.RunClient([&] { RunAndTellState(fixture.Connect().get(), "SELECT 1"); });
+  fixture.RunClient([&] { RunAndGetSqlState(fixture.Connect().get(), "SELECT 1"); });
   REQUIRE(fixture.requests.size() == 1);
   CHECK(fixture.requests[0].required == common::Position{1, 100});
   CHECK(fixture.requests[0].instance != "0");
@@ -251,70 +252,68 @@
   SessionFixture fixture;
   fixture.RunClient([&] {
     const auto connection = fixture.Connect();
-    RunAndTellState(connection.get(), "INSERT INTO t VALUES (1)");
+    RunAndGetSqlState(connection.get(), "INSERT INTO t VALUES (1)");
     CHECK(std::string(PQparameterStatus(connection.get(), "valvekeel.session_token")) ==
           "vk1:db:1:0/C8");
   });
 }
 
-TEST_CASE("What would leave state on a shared connection is refused", "[gateway]") {
+TEST_CASE("Statements that leave state on a shared connection are refused", "[gateway]") {
   SessionFixture fixture;
   fixture.RunClient([&] {
     const auto connection = fixture.Connect();
     for (const char* text : {"COPY t FROM STDIN", "LISTEN x", "PREPARE p AS SELECT 1",
                              "CREATE TEMP TABLE x (id int)", "SELECT pg_advisory_lock(1)"}) {
-      CHECK(RunAndTellState(connection.get(), text) == "0A000");
+      CHECK(RunAndGetSqlState(connection.get(), text) == "0A000");
     }
-    CHECK(RunAndTellState(connection.get(), "SELECT 1").empty());
+    CHECK(RunAndGetSqlState(connection.get(), "SELECT 1").empty());
   });
 }
 
-TEST_CASE("After the farewell of a planned stop nothing of the caller runs", "[gateway]") {
+TEST_CASE("After the final error of a planned stop no request of the caller runs", "[gateway]") {
   SessionFixture fixture;
   ConnectionPointer connection(nullptr, PQfinish);
   fixture.RunClient([&] { connection = fixture.Connect(); });
   fixture.server.Drain();
-  // Sent after the farewell: it is on its way to the daemon, which must not run it.
+  // The query is sent after the daemon's final error; the daemon must not run it.
   PQsendQuery(connection.get(), "INSERT INTO t VALUES (1)");
   fixture.loop.run_for(std::chrono::milliseconds(20));
   CHECK(fixture.requests.empty());
-  // The session waits for the caller to read the farewell and close.
+  // The session stays until the caller has read the final error and closes.
   CHECK(fixture.server.SessionCount() == 1);
   connection.reset();
   fixture.loop.run_for(std::chrono::milliseconds(20));
   CHECK(fixture.server.SessionCount() == 0);
 }
 
-TEST_CASE("An answer ready at a planned stop arrives whole however much the caller sends",
-          "[gateway]") {
-  // A session that was at work when the stop began sent its answer and the farewell and closed its
-  // socket at once. What the caller had sent meanwhile was unread, so the close reset the
-  // connection and took along all of the answer that was still in this side's buffer: of 65 KB,
-  // 2257 bytes arrived.
+TEST_CASE("A planned stop delivers a finished answer whole despite unread input", "[gateway]") {
+  // Guards against closing the socket right after the answer and the final error. If input of the
+  // caller is unread, the close resets the connection and discards the part of the answer that is
+  // still in the send buffer: of 65 KB, 2257 bytes arrived.
   SessionFixture fixture;
-  const std::string rows(kBufferedAnswer, 'r');
+  const std::string rows(kBufferedAnswerBytes, 'r');
   fixture.rows = rows;
-  asio::steady_timer at_work(fixture.loop, std::chrono::hours(1));
-  fixture.wait_on = &at_work;
+  asio::steady_timer execution(fixture.loop, std::chrono::hours(1));
+  fixture.wait_on = &execution;
   RawCaller caller(fixture.loop, fixture.port, true);
   caller.SendQuery("SELECT 1");
   fixture.RunUntil([&] { return fixture.requests.size() == 1; });
-  caller.SendQuery("SELECT 2");  // goes unread: the session is at work on the first
+  caller.SendQuery("SELECT 2");  // stays unread while the session runs the first query
   fixture.server.Drain();
-  at_work.cancel();
+  execution.cancel();
   fixture.RunUntil([&] { return fixture.server.BusySessions() == 0; });
-  const std::string received = caller.ReadToTheEnd(fixture.loop);
+  const std::string received = caller.ReadUntilClosed(fixture.loop);
   INFO(received.size() << " bytes arrived");
   CHECK(received.find(rows) != std::string::npos);
   CHECK(received.find(kStoppingMessage) != std::string::npos);
   CHECK(fixture.requests.size() == 1);
 }
 
-TEST_CASE("A planned stop breaks off no answer that is being sent", "[gateway]") {
-  // The answer to a Flush message was not counted as work in progress while it was being sent: at
-  // a planned stop the farewell went out in its midst and the rest of it never left.
+TEST_CASE("A planned stop does not interrupt an answer that is being sent", "[gateway]") {
+  // Guards against a session that counts as idle while it sends the answer to a Flush message. A
+  // planned stop would send its final error in the middle of the answer and drop the rest.
   SessionFixture fixture;
-  const std::string rows(kLargeAnswer, 'r');
+  const std::string rows(kLargeAnswerBytes, 'r');
   fixture.rows = rows;
   RawCaller caller(fixture.loop, fixture.port, false);
   caller.SendFlushed("SELECT 1");
@@ -322,13 +321,13 @@
   fixture.loop.poll();
   fixture.server.Drain();
   CHECK(fixture.server.BusySessions() == 1);
-  const std::string received = caller.ReadToTheEnd(fixture.loop);
+  const std::string received = caller.ReadUntilClosed(fixture.loop);
   INFO(received.size() << " bytes arrived");
   CHECK(received.find(rows) != std::string::npos);
   CHECK(received.find(kStoppingMessage) != std::string::npos);
 }
 
-TEST_CASE("Prepared statements go over any connection, unnamed, with their parameters",
+TEST_CASE("Prepared statements are sent unnamed with their parameters, over any connection",
           "[gateway]") {
   SessionFixture fixture;
   fixture.RunClient([&] {
