--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -35,7 +35,7 @@
   /// Asks the owner of the instance named in it for a position barrier.
   virtual asio::awaitable<pool::BarrierReply> Barrier(pool::BarrierRequest request) = 0;
 
-  /// Releases the session's connection at an instance; an open transaction is rolled back.
+  /// Ends the session's open transaction at the instance; it is rolled back.
   virtual void Release(const pool::ReleaseRequest& request) = 0;
   /// Cancels the session's statement if the instance named in the request is running it.
   virtual void Cancel(const pool::CancelStatementRequest& request) = 0;
--- a/src/gateway/session.cc
+++ b/src/gateway/session.cc
@@ -560,20 +560,20 @@
       encoder_.Raw(*bytes);
       continue;
     }
-    const StatementOutput& output = std::get<StatementOutput>(item);
-    const pool::StatementAnswer& answer = reply.answers[output.statement];
+    const StatementOutput& statement_output = std::get<StatementOutput>(item);
+    const pool::StatementAnswer& answer = reply.answers[statement_output.statement];
     if (answer.error) {
       encoder_.ErrorResponse(*answer.error);
       skip_until_sync_ = !simple;
       return;
     }
-    if (output.describe) {
+    if (statement_output.describe) {
       encoder_.Raw(answer.description);
       if (answer.description.empty() && !simple) {
         encoder_.NoData();
       }
     }
-    if (!output.only_describe) {
+    if (!statement_output.only_describe) {
       encoder_.Raw(answer.rows);
     }
   }
--- a/src/gateway/session.h
+++ b/src/gateway/session.h
@@ -96,7 +96,7 @@
   /// Refers to the answer of a statement of the pending batch.
   struct StatementOutput {
     std::size_t statement = 0;
-    bool describe = false;       // send the column descriptions before the rows
+    bool describe = false;       // send the column descriptions first
     bool only_describe = false;  // send no rows
   };
   /// Encoded messages, or a reference to the answer that is sent in this place.
@@ -107,7 +107,7 @@
     std::vector<pool::Statement> statements;
     std::vector<sql::Classification> classes;
     std::vector<OutputItem> output;
-    bool needs_primary = false;  // set if a replica could not answer its reads
+    bool needs_primary = false;  // only a primary can answer, though it only reads
   };
 
   /// @return true if nothing is in progress and no part of a message has been received.
@@ -157,8 +157,8 @@
   wire::TransactionStatus status_ = wire::TransactionStatus::kIdle;
   std::map<std::string, PreparedStatement> statements_;
   std::map<std::string, Portal> portals_;
-  std::map<std::string, std::string>
-      settings_;  // database settings, applied on each database connection
+  /// Settings of the database that are applied on each connection used for this session.
+  std::map<std::string, std::string> settings_;
   PendingBatch pending_;
   std::optional<wire::ErrorFields> pipeline_error_;
   std::string announced_token_;
