--- a/src/gateway/batch_router.h
+++ b/src/gateway/batch_router.h
@@ -1,8 +1,8 @@
 // Routes a session's batch to an instance and decides whether it is retried.
 //
 // Owns: the retry budgets. A batch that may have run is retried only if it only reads or its caller
-// marked it repeatable. Every batch gets exactly one final answer. All calls are made on the event
-// loop's thread.
+// marked it repeatable. Every batch gets one final answer, at the latest when it is no longer
+// retried. All calls are made on the event loop's thread.
 #pragma once
 
 #include <asio/awaitable.hpp>
--- a/src/gateway/session.cc
+++ b/src/gateway/session.cc
@@ -422,7 +422,7 @@
     statement.parameters.emplace_back(route_.request_id.empty() ? last_request_id_
                                                                 : route_.request_id);
     classification.kind = StatementKind::kRead;
-    pending_.needs_primary = true;  // a replica may not have replayed the record yet
+    pending_.needs_primary = true;  // only a confirmed primary has the current records
   }
   pending_.output.emplace_back(StatementOutput{pending_.statements.size(), describe, false});
   pending_.statements.push_back(std::move(statement));
