--- a/apps/valvekeel_proxysim.cc
+++ b/apps/valvekeel_proxysim.cc
@@ -74,12 +74,12 @@
   const std::size_t daemons = cost.daemons;
   std::cout << "| " << daemons << " x " << cost.services << " | " << name << " | "
             << static_cast<double>(phase.messages) / seconds << " | "
-            << static_cast<double>(phase.plain_messages) / seconds << " | "
-            << static_cast<double>(phase.most_messages) / seconds << " | "
+            << static_cast<double>(phase.max_roleless_messages) / seconds << " | "
+            << static_cast<double>(phase.max_messages) / seconds << " | "
             << static_cast<double>(phase.bytes) / seconds / 1000 << " | "
-            << static_cast<double>(phase.plain_bytes) / seconds / 1000 << " | "
-            << static_cast<double>(phase.most_bytes) / seconds / 1000 << " | " << phase.largest
-            << " | " << phase.store_calls << " | "
+            << static_cast<double>(phase.max_roleless_bytes) / seconds / 1000 << " | "
+            << static_cast<double>(phase.max_bytes) / seconds / 1000 << " | "
+            << phase.largest_message << " | " << phase.store_calls << " | "
             << phase.processor_seconds / seconds / static_cast<double>(daemons) * 1000 << " |\n";
 }
 
@@ -93,13 +93,13 @@
   bool agreed = true;
   for (const std::string& size : sizes) {
     const std::size_t by = size.find('x');
-    const std::size_t services = by == std::string::npos ? valvekeel::proxysim::kUsualServices
+    const std::size_t services = by == std::string::npos ? valvekeel::proxysim::kDefaultServices
                                                          : std::stoul(size.substr(by + 1));
     const auto cost = valvekeel::proxysim::MeasureControlCost(std::stoul(size), services);
     PrintPhase("start", cost, cost.start);
-    PrintPhase("rest", cost, cost.rest);
-    PrintPhase("return of all", cost, cost.herd_return);
-    agreed = agreed && cost.agreed_at_rest && cost.agreed_at_end;
+    PrintPhase("rest", cost, cost.idle);
+    PrintPhase("return of all", cost, cost.mass_restart);
+    agreed = agreed && cost.agreed_when_idle && cost.agreed_at_end;
   }
   std::cout << (agreed ? "all agreed on the coordinators\n" : "NOT AGREED\n");
   return agreed ? 0 : 1;
@@ -128,8 +128,8 @@
     options.sessions = absl::GetFlag(FLAGS_sessions);
     options.draw_shape = absl::GetFlag(FLAGS_draw_shape);
     options.large = absl::GetFlag(FLAGS_large);
-    options.planned = absl::GetFlag(FLAGS_planned);
-    options.anew = absl::GetFlag(FLAGS_anew);
+    options.planned_stops = absl::GetFlag(FLAGS_planned);
+    options.restart_empty = absl::GetFlag(FLAGS_anew);
     options.store_restores = absl::GetFlag(FLAGS_store_restores);
     options.evacuations = absl::GetFlag(FLAGS_evacuations);
     options.mechanisms.evacuation_bound = !absl::GetFlag(FLAGS_no_evacuation_bound);
--- a/src/proxysim/answer_checker.cc
+++ b/src/proxysim/answer_checker.cc
@@ -4,13 +4,13 @@
 
 namespace valvekeel::proxysim {
 
-void AnswerChecker::Cut(const CutCommand& command) {
-  if (world_.Now() >= last_stop_ + kBesideStop) {
+void AnswerChecker::OnUnanswered(const UnansweredCommand& command) {
+  if (world_.Now() >= last_stop_ + kStopEffectTime) {
     return;
   }
-  const bool troubled =
-      std::any_of(command.parties.begin(), command.parties.end(),
-                  [&](const std::string& party) { return world_.InTrouble(party, kAfterTrouble); });
+  const bool troubled = std::any_of(
+      command.parties.begin(), command.parties.end(),
+      [&](const std::string& party) { return world_.HadFault(party, kFaultEffectTime); });
   if (!troubled) {
     world_.Report("UNANSWERED", command.what);
   }
--- a/src/proxysim/answer_checker.h
+++ b/src/proxysim/answer_checker.h
@@ -16,7 +16,7 @@
 namespace valvekeel::proxysim {
 
 /// A command whose session was closed before its answer.
-struct CutCommand {
+struct UnansweredCommand {
   std::string what;                  // the command, and who cut it off
   std::vector<std::string> parties;  // on whom its answer depended
 };
@@ -26,19 +26,19 @@
   explicit AnswerChecker(World& world) : world_(world) {}
 
   /// Some daemon was told to stop.
-  void StopPlanned() { last_stop_ = world_.Now(); }
+  void OnPlannedStop() { last_stop_ = world_.Now(); }
 
   /// A session was closed with a command unanswered.
-  void Cut(const CutCommand& command);
+  void OnUnanswered(const UnansweredCommand& command);
 
  private:
   /// The time of a stop, and then a while in which callers and other daemons notice it.
-  static constexpr common::Duration kBesideStop{7'000'000};
+  static constexpr common::Duration kStopEffectTime{7'000'000};
   /// Within which trouble that was not planned may still be felt.
-  static constexpr common::Duration kAfterTrouble{5'000'000};
+  static constexpr common::Duration kFaultEffectTime{5'000'000};
 
   World& world_;
-  common::Instant last_stop_ = -kBesideStop;
+  common::Instant last_stop_ = -kStopEffectTime;
 };
 
 }  // namespace valvekeel::proxysim
--- a/src/proxysim/callers.cc
+++ b/src/proxysim/callers.cc
@@ -9,17 +9,17 @@
 using common::Duration;
 using model::CommandKind;
 
-constexpr Duration kLeastThink{20'000};
-constexpr Duration kMostThink{400'000};
-constexpr Duration kWay{1'000};
-constexpr Duration kReconnect{50'000};
-constexpr Duration kRetryPause{60'000};
-constexpr std::uint32_t kMostRetries = 2;
+constexpr Duration kMinThinkTime{20'000};
+constexpr Duration kMaxThinkTime{400'000};
+constexpr Duration kCallerDelay{1'000};
+constexpr Duration kReconnectDelay{50'000};
+constexpr Duration kRetryDelay{60'000};
+constexpr std::uint32_t kMaxRetries = 2;
 constexpr double kWriteShare = 0.25;
 constexpr double kTransactionShare = 0.25;
-constexpr double kSessionEnds = 0.05;
-constexpr double kHasValue = 0.5;
-constexpr Duration kAnswerLimit{5'000'000};
+constexpr double kSessionEndProbability = 0.05;
+constexpr double kSetValueProbability = 0.5;
+constexpr Duration kAnswerTimeout{5'000'000};
 
 model::Command MakeCommand(CommandKind kind, const std::string& arguments = "") {
   model::Command command;
@@ -50,12 +50,12 @@
 };
 
 Callers::Callers(Cluster& cluster, std::size_t sessions) : cluster_(cluster) {
-  if (cluster_.Shape().balanced) {
+  if (cluster_.Shape().use_load_balancer) {
     std::vector<DaemonHost*> daemons;
     for (const auto& daemon : cluster_.Daemons()) {
       daemons.push_back(daemon.get());
     }
-    balancer_ = std::make_unique<LoadBalancer>(cluster_.Surroundings(), std::move(daemons));
+    balancer_ = std::make_unique<LoadBalancer>(cluster_.SimWorld(), std::move(daemons));
   }
   for (std::size_t number = 0; number < sessions; ++number) {
     callers_.push_back(std::make_shared<Caller>());
@@ -64,16 +64,16 @@
 }
 
 DaemonHost& Callers::ChooseDaemon() {
-  World& world = cluster_.Surroundings();
+  World& world = cluster_.SimWorld();
   if (balancer_) {
-    return balancer_->Choose(ZoneName(world.Below(cluster_.Shape().zones)));
+    return balancer_->Choose(ZoneName(world.RandomBelow(cluster_.Shape().zones)));
   }
   auto& daemons = cluster_.Daemons();
-  return *daemons[world.Below(daemons.size())];
+  return *daemons[world.RandomBelow(daemons.size())];
 }
 
 void Callers::Connect(const std::shared_ptr<Caller>& caller) {
-  World& world = cluster_.Surroundings();
+  World& world = cluster_.SimWorld();
   const std::uint64_t epoch = ++caller->epoch;
   caller->session = next_session_++;
   caller->values.clear();
@@ -82,40 +82,40 @@
   caller->daemon = &ChooseDaemon();
   const auto configuration = cluster_.CurrentConfiguration();
   auto route = configuration.routes.begin();
-  std::advance(route, world.Below(configuration.routes.size()));
+  std::advance(route, world.RandomBelow(configuration.routes.size()));
   caller->route = route->second;
   caller->service = route->second.service;
   if (balancer_ ? !caller->daemon->Alive() : !caller->daemon->Ready()) {
-    world.After(kReconnect, [this, caller, epoch] {
+    world.After(kReconnectDelay, [this, caller, epoch] {
       if (epoch == caller->epoch) {
         Connect(caller);
       }
     });
     return;
   }
-  CallerPort port;
-  port.accepted = [this, caller, epoch] {
+  CallerCallbacks callbacks;
+  callbacks.accepted = [this, caller, epoch] {
     if (epoch == caller->epoch) {
-      Think(caller);
+      ScheduleOperation(caller);
     }
   };
-  port.answer = [this, caller, epoch](const model::Reply& reply) {
-    cluster_.Surroundings().After(kWay, [this, caller, epoch, reply] {
+  callbacks.answer = [this, caller, epoch](const model::Reply& reply) {
+    cluster_.SimWorld().After(kCallerDelay, [this, caller, epoch, reply] {
       if (epoch == caller->epoch) {
-        Answered(caller, reply);
+        OnAnswer(caller, reply);
       }
     });
   };
-  port.closed = [this, caller, epoch] {
-    cluster_.Surroundings().After(kWay, [this, caller, epoch] {
+  callbacks.closed = [this, caller, epoch] {
+    cluster_.SimWorld().After(kCallerDelay, [this, caller, epoch] {
       if (epoch == caller->epoch) {
-        Closed(caller);
+        OnClosed(caller);
       }
     });
   };
   caller->key = ChooseKey();
   caller->daemon->OpenSession(caller->session, {caller->route.database, caller->key},
-                              std::move(port));
+                              std::move(callbacks));
   world.After(std::chrono::seconds(2), [this, caller, epoch] {
     const bool waits = epoch == caller->epoch && !caller->active && caller->commands.empty();
     if (waits) {
@@ -129,27 +129,27 @@
   const std::vector<std::string> keys = cluster_.Keys().Keys();
   std::vector<std::string> in_force;
   for (const std::string& key : keys) {
-    if (!cluster_.Keys().Holder(key).empty()) {
+    if (!cluster_.Keys().TenantOf(key).empty()) {
       in_force.push_back(key);
     }
   }
-  return in_force.empty() ? "" : in_force[cluster_.Surroundings().Below(in_force.size())];
+  return in_force.empty() ? "" : in_force[cluster_.SimWorld().RandomBelow(in_force.size())];
 }
 
-void Callers::Think(const std::shared_ptr<Caller>& caller) {
-  World& world = cluster_.Surroundings();
+void Callers::ScheduleOperation(const std::shared_ptr<Caller>& caller) {
+  World& world = cluster_.SimWorld();
   const std::uint64_t epoch = caller->epoch;
   caller->commands = {MakeCommand(CommandKind::kRead)};  // marks the session as accepted
-  world.After(world.Between(kLeastThink, kMostThink), [this, caller, epoch] {
-    if (epoch == caller->epoch && cluster_.Surroundings().Now() < stop_at_) {
+  world.After(world.RandomBetween(kMinThinkTime, kMaxThinkTime), [this, caller, epoch] {
+    if (epoch == caller->epoch && cluster_.SimWorld().Now() < stop_at_) {
       BeginOperation(caller);
     }
   });
 }
 
 void Callers::BeginOperation(const std::shared_ptr<Caller>& caller) {
-  World& world = cluster_.Surroundings();
-  if (world.Chance(kSessionEnds)) {
+  World& world = cluster_.SimWorld();
+  if (world.Chance(kSessionEndProbability)) {
     caller->daemon->CloseSession(caller->session);
     Connect(caller);
     return;
@@ -158,8 +158,8 @@
   const bool may_write = caller->route.consistency != model::Consistency::kBoundedStaleness;
   caller->writes = may_write && world.Chance(kWriteShare);
   const bool transaction = world.Chance(kTransactionShare);
-  if (caller->values.empty() && world.Chance(kHasValue)) {
-    model::Command set = MakeCommand(CommandKind::kSet, std::to_string(world.Below(5)));
+  if (caller->values.empty() && world.Chance(kSetValueProbability)) {
+    model::Command set = MakeCommand(CommandKind::kSet, std::to_string(world.RandomBelow(5)));
     set.name = "v";
     caller->commands.push_back(set);
   }
@@ -176,7 +176,7 @@
   caller->retries = 0;
   caller->active = true;
   caller->began = world.Now();
-  ++SecondOf(caller->began).begun;
+  ++SummaryAt(caller->began).begun;
   BeginAttempt(caller);
 }
 
@@ -188,21 +188,21 @@
   attempt.database = caller->route.database;
   attempt.consistency = caller->route.consistency;
   attempt.max_staleness = caller->route.max_staleness;
-  attempt.began = cluster_.Surroundings().Now();
+  attempt.began = cluster_.SimWorld().Now();
   attempt.key = caller->key;
   attempt.values = caller->values;
   caller->attempt = attempt.id;
   caller->next = 0;
   caller->commit_sent = false;
-  cluster_.Record().Begin(std::move(attempt));
+  cluster_.CallerHistory().Begin(std::move(attempt));
   SendNext(caller);
 }
 
 void Callers::SendNext(const std::shared_ptr<Caller>& caller) {
-  World& world = cluster_.Surroundings();
+  World& world = cluster_.SimWorld();
   const std::uint64_t epoch = caller->epoch;
   const model::Command command = caller->commands[caller->next];
-  CallerAttempt* attempt = cluster_.Record().Find(caller->attempt);
+  CallerAttempt* attempt = cluster_.CallerHistory().Find(caller->attempt);
   attempt->in_transaction = std::any_of(
       caller->commands.begin(), caller->commands.begin() + static_cast<long>(caller->next),
       [](const model::Command& each) {
@@ -215,22 +215,22 @@
   const bool alone = command.kind == CommandKind::kWrite && !attempt->in_transaction;
   caller->commit_sent = caller->commit_sent || command.kind == CommandKind::kCommit || alone;
   const std::string id = caller->attempt;
-  world.After(kWay, [caller, epoch, command, id] {
+  world.After(kCallerDelay, [caller, epoch, command, id] {
     if (epoch == caller->epoch) {
       caller->daemon->Command(caller->session, {id, command});
     }
   });
-  world.After(kAnswerLimit, [this, caller, epoch, id, step = caller->next] {
+  world.After(kAnswerTimeout, [this, caller, epoch, id, step = caller->next] {
     const bool unanswered =
         epoch == caller->epoch && caller->active && caller->attempt == id && caller->next == step;
     if (unanswered) {
       caller->daemon->CloseSession(caller->session);
-      Closed(caller);
+      OnClosed(caller);
     }
   });
 }
 
-void Callers::Answered(const std::shared_ptr<Caller>& caller, const model::Reply& reply) {
+void Callers::OnAnswer(const std::shared_ptr<Caller>& caller, const model::Reply& reply) {
   if (!caller->active) {
     return;
   }
@@ -238,7 +238,7 @@
   if (!reply.succeeded) {
     const bool promised = model::GuaranteesNoEffect(reply.error);
     if (promised && caller->writes) {
-      cluster_.Record().Refused(caller->attempt);
+      cluster_.CallerHistory().OnRefused(caller->attempt);
     }
     if (reply.state != model::TransactionState::kIdle) {
       caller->daemon->Command(caller->session,
@@ -246,42 +246,42 @@
       // The answer to the end of the transaction is not looked at: a new session is simpler.
       caller->daemon->CloseSession(caller->session);
       const bool may_retry = promised || !caller->commit_sent;
-      Failed(caller, may_retry);
+      OnFailure(caller, may_retry);
       return;
     }
-    Failed(caller, promised || !caller->writes || !caller->commit_sent);
+    OnFailure(caller, promised || !caller->writes || !caller->commit_sent);
     return;
   }
   if (model::RunsOnInstance(command.kind) && reply.signature != caller->attempt) {
-    cluster_.Surroundings().Report("MIXED",
-                                   caller->attempt + " got the answer of " + reply.signature);
+    cluster_.SimWorld().Report("MIXED", caller->attempt + " got the answer of " + reply.signature);
   }
   if (command.kind == CommandKind::kSet) {
     caller->values[command.name] = command.arguments;
-    cluster_.Record().Find(caller->attempt)->values = caller->values;
+    cluster_.CallerHistory().Find(caller->attempt)->values = caller->values;
   }
   ++caller->next;
   if (caller->next < caller->commands.size()) {
     SendNext(caller);
     return;
   }
-  Succeeded(caller, reply);
+  OnSuccess(caller, reply);
 }
 
-void Callers::Succeeded(const std::shared_ptr<Caller>& caller, const model::Reply& reply) {
+void Callers::OnSuccess(const std::shared_ptr<Caller>& caller, const model::Reply& reply) {
   caller->active = false;
-  cluster_.Record().NoteSuccess();
-  ++SecondOf(caller->began).succeeded;
+  cluster_.CallerHistory().OnSuccess();
+  ++SummaryAt(caller->began).succeeded;
   if (caller->writes) {
-    cluster_.Record().Acknowledged(caller->attempt, reply.position.value_or(common::Position{}));
-    writes_[caller->service].push_back(cluster_.Surroundings().Now());
+    cluster_.CallerHistory().OnAcknowledged(caller->attempt,
+                                            reply.position.value_or(common::Position{}));
+    writes_[caller->service].push_back(cluster_.SimWorld().Now());
   }
-  Think(caller);
+  ScheduleOperation(caller);
 }
 
-void Callers::Failed(const std::shared_ptr<Caller>& caller, bool may_retry) {
-  World& world = cluster_.Surroundings();
-  const bool again = may_retry && caller->retries < kMostRetries && world.Now() < stop_at_;
+void Callers::OnFailure(const std::shared_ptr<Caller>& caller, bool may_retry) {
+  World& world = cluster_.SimWorld();
+  const bool again = may_retry && caller->retries < kMaxRetries && world.Now() < stop_at_;
   if (!again) {
     caller->active = false;
     Connect(caller);
@@ -291,7 +291,7 @@
   caller->active = false;
   const std::uint32_t retries = caller->retries + 1;
   caller->daemon->CloseSession(caller->session);
-  world.After(kRetryPause, [this, caller, retries, epoch = caller->epoch] {
+  world.After(kRetryDelay, [this, caller, retries, epoch = caller->epoch] {
     if (epoch == caller->epoch) {
       Connect(caller);
       caller->retries = retries;
@@ -299,12 +299,12 @@
   });
 }
 
-void Callers::Closed(const std::shared_ptr<Caller>& caller) {
+void Callers::OnClosed(const std::shared_ptr<Caller>& caller) {
   caller->active = false;
   Connect(caller);
 }
 
-SecondSummary& Callers::SecondOf(common::Instant at) {
+SecondSummary& Callers::SummaryAt(common::Instant at) {
   const auto second =
       static_cast<std::size_t>(std::chrono::duration_cast<std::chrono::seconds>(at).count());
   if (seconds_.size() <= second) {
--- a/src/proxysim/callers.h
+++ b/src/proxysim/callers.h
@@ -43,15 +43,15 @@
   /// @return the daemon for a new connection.
   DaemonHost& ChooseDaemon();
   void Connect(const std::shared_ptr<Caller>& caller);
-  void Think(const std::shared_ptr<Caller>& caller);
+  void ScheduleOperation(const std::shared_ptr<Caller>& caller);
   void BeginOperation(const std::shared_ptr<Caller>& caller);
   void BeginAttempt(const std::shared_ptr<Caller>& caller);
   void SendNext(const std::shared_ptr<Caller>& caller);
-  void Answered(const std::shared_ptr<Caller>& caller, const model::Reply& reply);
-  void Closed(const std::shared_ptr<Caller>& caller);
-  void Failed(const std::shared_ptr<Caller>& caller, bool promised);
-  void Succeeded(const std::shared_ptr<Caller>& caller, const model::Reply& reply);
-  SecondSummary& SecondOf(common::Instant at);
+  void OnAnswer(const std::shared_ptr<Caller>& caller, const model::Reply& reply);
+  void OnClosed(const std::shared_ptr<Caller>& caller);
+  void OnFailure(const std::shared_ptr<Caller>& caller, bool promised);
+  void OnSuccess(const std::shared_ptr<Caller>& caller, const model::Reply& reply);
+  SecondSummary& SummaryAt(common::Instant at);
 
   Cluster& cluster_;
   std::unique_ptr<LoadBalancer> balancer_;  // null: callers know at once who is ready
--- a/src/proxysim/cluster.cc
+++ b/src/proxysim/cluster.cc
@@ -10,10 +10,10 @@
 
 constexpr const char* kPlatform = "platform";
 constexpr common::Duration kPromotionTimeout{450'000};
-constexpr common::Duration kUnlistAfter{3'600'000};  // three heartbeats of silence
+constexpr common::Duration kUnlistDelay{3'600'000};  // three heartbeats of silence
 constexpr std::uint16_t kPeerPort = 7440;
-constexpr common::Duration kWriteTimeLimit{800'000};
-constexpr common::Duration kReadTimeLimit{2'000'000};
+constexpr common::Duration kWriteTimeout{800'000};
+constexpr common::Duration kReadTimeout{2'000'000};
 constexpr common::Duration kTargetLatency{250'000};
 
 model::Route MakeRoute(const std::string& service, const std::string& suffix,
@@ -64,28 +64,28 @@
     auto group = std::make_unique<DatabaseGroup>(world_, history_, service, shape_.group);
     DatabaseGroup* made = group.get();
     made->keys = shape_.tenants > 0 ? &keys_ : nullptr;
-    group->on_change = [this, made] { AnnounceAll(*made); };
+    group->on_change = [this, made] { WriteChangedEntries(*made); };
     if (shape_.evacuation_limit.count() > 0) {
-      group->on_work = [this](const std::string& instance, const std::string& daemon) {
-        evacuations_.WorkArrived(ZoneOfInstance(instance), instance, daemon);
+      group->on_request = [this](const std::string& instance, const std::string& daemon) {
+        evacuations_.OnRequestArrived(ZoneOfInstance(instance), instance, daemon);
       };
     }
     groups_.emplace(service, std::move(group));
     configuration_.services[service] = {service,
-                                        static_cast<std::uint32_t>(shape_.group.most_connections),
+                                        static_cast<std::uint32_t>(shape_.group.max_connections),
                                         shape_.group.sync_replicas, shape_.group.warm_up};
     for (const model::Route& route :
-         {MakeRoute(service, ".primary", model::Consistency::kPrimary, kWriteTimeLimit,
+         {MakeRoute(service, ".primary", model::Consistency::kPrimary, kWriteTimeout,
                     common::Duration(0)),
-          MakeRoute(service, ".bounded", model::Consistency::kBoundedStaleness, kReadTimeLimit,
+          MakeRoute(service, ".bounded", model::Consistency::kBoundedStaleness, kReadTimeout,
                     std::chrono::milliseconds(1500)),
-          MakeRoute(service, ".own", model::Consistency::kReadYourWrites, kWriteTimeLimit,
+          MakeRoute(service, ".own", model::Consistency::kReadYourWrites, kWriteTimeout,
                     std::chrono::milliseconds(2500))}) {
       configuration_.routes[route.database] = route;
     }
-    AnnounceAll(*made);
+    WriteChangedEntries(*made);
   }
-  MakeTenants();
+  CreateTenants();
   WriteConfiguration();
   for (std::size_t number = 0; number < shape_.daemons; ++number) {
     const std::string name = std::string("daemon-") + std::to_string(number);
@@ -95,52 +95,51 @@
     daemons_.back()->Start();
   }
   if (shape_.evacuation_limit.count() > 0) {
-    evacuations_.Watch([this] { LookForDisturbances(); });
+    evacuations_.Start([this] { RecordDisturbances(); });
   }
   if (shape_.check_configuration) {
-    configurations_.Watch([this] { CheckConfigurations(); });
+    configurations_.Start([this] { CheckConfigurations(); });
   }
 }
 
-bool Cluster::InTouch(const DaemonHost& daemon) const {
+bool Cluster::RunsAndReachesStore(const DaemonHost& daemon) const {
   const bool reaches =
       world_.Reaches(daemon.Name(), kStore) && world_.Reaches(kStore, daemon.Name());
-  return daemon.Runs() && reaches;
+  return daemon.IsOperating() && reaches;
 }
 
 void Cluster::CheckConfigurations() {
-  if (!store_.faults.None() || world_.InTrouble(kStore, common::Duration(0))) {
-    configurations_.NoteStore();
+  if (!store_.faults.None() || world_.HadFault(kStore, common::Duration(0))) {
+    configurations_.RecordStoreDisturbance();
   }
   for (const auto& daemon : daemons_) {
-    if (!InTouch(*daemon)) {
-      configurations_.NoteDisturbed(daemon->Name());
+    if (!RunsAndReachesStore(*daemon)) {
+      configurations_.RecordDaemonDisturbance(daemon->Name());
       continue;
     }
-    configurations_.Check(daemon->Name(),
-                          daemon->Decisions()->CatalogView().Configuration().version);
+    configurations_.Check(daemon->Name(), daemon->Proxy()->CatalogView().Configuration().version);
   }
 }
 
-void Cluster::LookForDisturbances() {
+void Cluster::RecordDisturbances() {
   for (const auto& daemon : daemons_) {
-    if (!InTouch(*daemon)) {
-      evacuations_.NoteDaemon(daemon->Name());
+    if (!RunsAndReachesStore(*daemon)) {
+      evacuations_.RecordDaemonDisturbance(daemon->Name());
     }
   }
   if (!store_.faults.None()) {
-    evacuations_.NoteStore();
+    evacuations_.RecordStoreDisturbance();
   }
 }
 
 void Cluster::Evacuate(const std::string& zone) {
   store_.Put(Collection::kEvacuations, zone, model::ZoneEvacuation{zone});
-  evacuations_.Begin(zone);
+  evacuations_.OnEvacuationStarted(zone);
 }
 
 void Cluster::EndEvacuation(const std::string& zone) {
   store_.Delete(Collection::kEvacuations, zone);
-  evacuations_.End(zone);
+  evacuations_.OnEvacuationEnded(zone);
 }
 
 std::string Cluster::ZoneOfInstance(const std::string& instance) const {
@@ -148,9 +147,9 @@
 }
 
 void Cluster::WriteConfiguration() {
-  regions_.Note(configuration_, world_.Now());
+  regions_.RecordVersion(configuration_, world_.Now());
   store_.Put(Collection::kConfiguration, "main", configuration_);
-  configurations_.Written(configuration_.version);
+  configurations_.OnWritten(configuration_.version);
 }
 
 std::map<std::string, std::string> Cluster::Regions() const { return RegionsOf(shape_); }
@@ -179,7 +178,7 @@
   DaemonHost* deciding = DaemonNamed(daemon);
   std::optional<std::uint64_t> known;
   if (deciding != nullptr && deciding->Alive()) {
-    known = deciding->Decisions()->CatalogView().Configuration().version;
+    known = deciding->Proxy()->CatalogView().Configuration().version;
   }
   if (!regions_.Allows(attempt, zone, known)) {
     world_.Report("HOME", attempt.id + " of " + attempt.database + " " + attempt.key + " is " +
@@ -187,18 +186,18 @@
   }
 }
 
-void Cluster::MakeTenants() {
+void Cluster::CreateTenants() {
   constexpr std::size_t kKeysOfTenant = 2;
   for (std::size_t number = 0; number < shape_.tenants; ++number) {
     const std::string name = TenantName(number);
     configuration_.tenants[name].name = name;
     for (std::size_t key = 0; key < kKeysOfTenant; ++key) {
-      GiveKey("key-" + std::to_string(number) + "-" + std::to_string(key), name);
+      AssignKey("key-" + std::to_string(number) + "-" + std::to_string(key), name);
     }
   }
 }
 
-void Cluster::GiveKey(const std::string& key, const std::string& tenant) {
+void Cluster::AssignKey(const std::string& key, const std::string& tenant) {
   const tenants::key_digest digest = tenants::digest_of(key);
   for (auto& [name, each] : configuration_.tenants) {
     std::erase(each.keys, digest);
@@ -210,7 +209,7 @@
 }
 
 void Cluster::ChangeKey(const std::string& key, const std::string& tenant) {
-  GiveKey(key, tenant);
+  AssignKey(key, tenant);
   ChangeConfiguration();
 }
 
@@ -237,7 +236,7 @@
   return nullptr;
 }
 
-void Cluster::Announce(const DatabaseGroup& group, const SimulatedInstance& instance) {
+void Cluster::WriteInstanceEntry(const DatabaseGroup& group, const SimulatedInstance& instance) {
   model::InstanceEntry entry;
   entry.id = instance.id;
   entry.service = group.Service();
@@ -253,23 +252,23 @@
   store_.Put(Collection::kInstances, instance.id, entry);
 }
 
-void Cluster::AnnounceAll(DatabaseGroup& group) {
+void Cluster::WriteChangedEntries(DatabaseGroup& group) {
   for (const auto& [id, instance] : group.Instances()) {
     const std::string state = std::string(instance.alive ? "alive" : "dead") +
                               (instance.primary ? "+primary" : "") +
                               (instance.draining ? "+draining" : "") +
                               (world_.Now() < instance.cold_until ? "+cold" : "") + "+" +
                               std::to_string(instance.incarnation);
-    if (std::exchange(announced_[id], state) == state) {
+    if (std::exchange(written_states_[id], state) == state) {
       continue;
     }
     if (instance.alive) {
-      Announce(group, instance);
+      WriteInstanceEntry(group, instance);
       continue;
     }
     const std::string gone = id;
-    world_.After(kUnlistAfter, [this, gone] {
-      if (announced_[gone].starts_with("dead")) {
+    world_.After(kUnlistDelay, [this, gone] {
+      if (written_states_[gone].starts_with("dead")) {
         store_.Delete(Collection::kInstances, gone);
       }
     });
@@ -288,7 +287,7 @@
   if (!world_.Reaches(daemon, kPlatform)) {
     return;
   }
-  world_.After(world_.Delay(), [this, daemon, promotion, finish] {
+  world_.After(world_.NetworkDelay(), [this, daemon, promotion, finish] {
     if (promotion.token < highest_token_) {
       world_.Report("ONE", "token " + std::to_string(promotion.token) + " after " +
                                std::to_string(highest_token_));
@@ -300,7 +299,7 @@
     }
     const bool taken = groups_.at(promotion.service)->Promote(promotion.instance);
     if (world_.Reaches(kPlatform, daemon)) {
-      world_.After(world_.Delay(), [finish, taken] {
+      world_.After(world_.NetworkDelay(), [finish, taken] {
         finish(taken ? failover::PromotionStatus::kAccepted
                      : failover::PromotionStatus::kNotRunning);
       });
--- a/src/proxysim/cluster.h
+++ b/src/proxysim/cluster.h
@@ -38,7 +38,7 @@
   tenants::tenant_policy tenancy;        // in force if there are tenants
   common::Duration evacuation_limit{0};  // 0: no zone is evacuated
   bool first_start = false;              // of the whole deployment
-  bool balanced = false;                 // callers are sent by a balancer, which notices late
+  bool use_load_balancer = false;        // callers are sent by a balancer, which notices late
   bool record_load = false;              // the daemons' load, to be replayed
   bool encode_messages = false;          // the bytes of heartbeats are counted
   bool check_configuration = false;      // reports who has a version in force too late
@@ -50,8 +50,8 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  World& Surroundings() { return world_; }
-  History& Record() { return history_; }
+  World& SimWorld() { return world_; }
+  History& CallerHistory() { return history_; }
   AnswerChecker& Answers() { return answers_; }
   SimulatedStore& Store() { return store_; }
   std::vector<std::unique_ptr<DaemonHost>>& Daemons() { return daemons_; }
@@ -73,7 +73,7 @@
   /// An operator evacuates a zone, or takes that back.
   void Evacuate(const std::string& zone);
   void EndEvacuation(const std::string& zone);
-  bool Evacuated(const std::string& zone) const { return evacuations_.Evacuated(zone); }
+  bool IsEvacuated(const std::string& zone) const { return evacuations_.IsEvacuated(zone); }
   /// Limits a route's or a tenant's work to regions, by a further version of the configuration.
   void LimitRoute(const std::string& database, const std::vector<std::string>& regions);
   void LimitTenant(const std::string& tenant, const std::vector<std::string>& regions);
@@ -90,7 +90,7 @@
                    const std::string& daemon);
 
   /// Writes an instance's entry as it would itself.
-  void Announce(const DatabaseGroup& group, const SimulatedInstance& instance);
+  void WriteInstanceEntry(const DatabaseGroup& group, const SimulatedInstance& instance);
 
   /// A daemon asks the platform to promote.
   void Promote(const std::string& daemon, const proxy::Promote& promotion,
@@ -100,14 +100,14 @@
   std::function<void(const std::string& daemon, const proxy::LogEvent&)> on_log;
 
  private:
-  void AnnounceAll(DatabaseGroup& group);
+  void WriteChangedEntries(DatabaseGroup& group);
   void WriteConfiguration();
-  void GiveKey(const std::string& key, const std::string& tenant);
-  void MakeTenants();
-  void LookForDisturbances();
+  void AssignKey(const std::string& key, const std::string& tenant);
+  void CreateTenants();
+  void RecordDisturbances();
   void CheckConfigurations();
   /// @return true if the daemon serves, undisturbed, and reaches the store both ways.
-  bool InTouch(const DaemonHost& daemon) const;
+  bool RunsAndReachesStore(const DaemonHost& daemon) const;
   DaemonHost* DaemonNamed(const std::string& name);
 
   World world_;
@@ -125,7 +125,7 @@
   std::uint64_t highest_token_ = 0;
   std::uint64_t entry_writes_ = 0;
   std::map<std::uint64_t, std::string> token_holders_;
-  std::map<std::string, std::string> announced_;  // last state by instance
+  std::map<std::string, std::string> written_states_;  // last state by instance
 };
 
 /// @return the name of a zone.
--- a/src/proxysim/cold_arrivals.h
+++ b/src/proxysim/cold_request_counter.h
@@ -13,20 +13,20 @@
 
 namespace valvekeel::proxysim {
 
-class ColdArrivals {
+class ColdRequestCounter {
  public:
   /// Notes a caller's request at a cold instance. @return how many came within the last second.
-  std::size_t Note(const std::string& instance, common::Instant now) {
+  std::size_t RecordRequest(const std::string& instance, common::Instant now) {
     std::deque<common::Instant>& arrivals = arrivals_[instance];
     arrivals.push_back(now);
-    while (arrivals.front() + kCounted <= now) {
+    while (arrivals.front() + kWindow <= now) {
       arrivals.pop_front();
     }
     return arrivals.size();
   }
 
  private:
-  static constexpr common::Duration kCounted{1'000'000};
+  static constexpr common::Duration kWindow{1'000'000};
 
   std::map<std::string, std::deque<common::Instant>> arrivals_;
 };
--- a/src/proxysim/configuration_monitor.cc
+++ b/src/proxysim/configuration_monitor.cc
@@ -4,17 +4,17 @@
 
 namespace valvekeel::proxysim {
 
-void ConfigurationMonitor::Watch(std::function<void()> look) {
-  look_ = std::move(look);
-  look_();
-  world_.After(kLookInterval, [this] { Watch(look_); });
+void ConfigurationMonitor::Start(std::function<void()> look) {
+  check_ = std::move(look);
+  check_();
+  world_.After(kCheckInterval, [this] { Start(check_); });
 }
 
 void ConfigurationMonitor::Check(const std::string& daemon, std::uint64_t in_force) {
   const common::Instant now = world_.Now();
   const auto disturbed = disturbed_.find(daemon);
-  const bool bound = disturbed == disturbed_.end() || now > disturbed->second + kContact;
-  if (!bound || now <= store_disturbed_ + kContact) {
+  const bool bound = disturbed == disturbed_.end() || now > disturbed->second + kUndisturbedTime;
+  if (!bound || now <= store_disturbed_ + kUndisturbedTime) {
     return;
   }
   const auto lacking = written_.upper_bound(in_force);
--- a/src/proxysim/configuration_monitor.h
+++ b/src/proxysim/configuration_monitor.h
@@ -26,23 +26,23 @@
   explicit ConfigurationMonitor(World& world) : world_(world) {}
 
   /// Begins to look. @param look calls NoteDisturbed, NoteStore and Check.
-  void Watch(std::function<void()> look);
+  void Start(std::function<void()> look);
 
-  void NoteDisturbed(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
-  void NoteStore() { store_disturbed_ = world_.Now(); }
+  void RecordDaemonDisturbance(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
+  void RecordStoreDisturbance() { store_disturbed_ = world_.Now(); }
 
   /// The store has taken a version.
-  void Written(std::uint64_t version) { written_[version] = world_.Now(); }
+  void OnWritten(std::uint64_t version) { written_[version] = world_.Now(); }
 
   /// Holds the version in force at a daemon against what was acknowledged. Reports it once.
   void Check(const std::string& daemon, std::uint64_t in_force);
 
  private:
-  static constexpr common::Duration kContact{5'000'000};
-  static constexpr common::Duration kLookInterval{50'000};
+  static constexpr common::Duration kUndisturbedTime{5'000'000};
+  static constexpr common::Duration kCheckInterval{50'000};
 
   World& world_;
-  std::function<void()> look_;
+  std::function<void()> check_;
   std::map<std::uint64_t, common::Instant> written_;  // by version
   std::map<std::string, common::Instant> disturbed_;  // by daemon
   std::set<std::pair<std::string, std::uint64_t>> reported_;
--- a/src/proxysim/control_cost.cc
+++ b/src/proxysim/control_cost.cc
@@ -13,12 +13,12 @@
 /// Connections an instance takes and its slots, as on the users' large site.
 constexpr std::size_t kConnections = 202;
 constexpr std::size_t kSlots = 3;
-constexpr common::Duration kStart{6'000'000};
-constexpr common::Duration kSettling{4'000'000};
-constexpr common::Duration kRest{10'000'000};
-constexpr common::Duration kReturn{5'000'000};
-constexpr common::Duration kDark{1'000'000};
-constexpr common::Duration kSpread{300'000};
+constexpr common::Duration kStartTime{6'000'000};
+constexpr common::Duration kSettlingTime{4'000'000};
+constexpr common::Duration kIdleTime{10'000'000};
+constexpr common::Duration kRestartTime{5'000'000};
+constexpr common::Duration kDownTime{1'000'000};
+constexpr common::Duration kStartSpread{300'000};
 
 double ProcessorSeconds() {
   return static_cast<double>(std::clock()) / static_cast<double>(CLOCKS_PER_SEC);
@@ -35,7 +35,7 @@
 
   /// Lets the deployment run. @return what was counted.
   PhaseCost Run(common::Duration length) {
-    cluster_.Surroundings().RunUntil(cluster_.Surroundings().Now() + length);
+    cluster_.SimWorld().RunUntil(cluster_.SimWorld().Now() + length);
     PhaseCost cost;
     cost.length = length;
     cost.processor_seconds = ProcessorSeconds() - began_;
@@ -52,16 +52,16 @@
     cost.messages += sent;
     cost.bytes += after.bytes - before.bytes;
     cost.store_calls += after.store_calls - before.store_calls;
-    cost.most_messages = std::max(cost.most_messages, sent);
+    cost.max_messages = std::max(cost.max_messages, sent);
     const std::size_t bytes = after.bytes - before.bytes;
-    cost.most_bytes = std::max(cost.most_bytes, bytes);
-    cost.largest = std::max(cost.largest, after.largest);
-    const proxy::Proxy* decisions = daemon.Decisions();
-    const bool plain =
+    cost.max_bytes = std::max(cost.max_bytes, bytes);
+    cost.largest_message = std::max(cost.largest_message, after.largest_message);
+    const proxy::Proxy* decisions = daemon.Proxy();
+    const bool roleless =
         decisions != nullptr && !decisions->Roles().watches_any() && !decisions->View().is_hub();
-    if (plain) {
-      cost.plain_messages = std::max(cost.plain_messages, sent);
-      cost.plain_bytes = std::max(cost.plain_bytes, bytes);
+    if (roleless) {
+      cost.max_roleless_messages = std::max(cost.max_roleless_messages, sent);
+      cost.max_roleless_bytes = std::max(cost.max_roleless_bytes, bytes);
     }
   }
 
@@ -70,22 +70,23 @@
   double began_;
 };
 
-bool Agreed(Cluster& cluster) {
-  const auto& expected = cluster.Daemons().front()->Decisions()->Roles().coordinators();
+bool AgreeOnCoordinators(Cluster& cluster) {
+  const auto& expected = cluster.Daemons().front()->Proxy()->Roles().coordinators();
   return std::all_of(cluster.Daemons().begin(), cluster.Daemons().end(), [&](const auto& daemon) {
-    return daemon->Alive() && daemon->Decisions()->Roles().coordinators() == expected;
+    return daemon->Alive() && daemon->Proxy()->Roles().coordinators() == expected;
   });
 }
 
 void RestartAll(Cluster& cluster) {
-  World& world = cluster.Surroundings();
+  World& world = cluster.SimWorld();
   for (const auto& daemon : cluster.Daemons()) {
     daemon->Kill();
   }
-  world.RunUntil(world.Now() + kDark);
+  world.RunUntil(world.Now() + kDownTime);
   for (const auto& daemon : cluster.Daemons()) {
     DaemonHost* returning = daemon.get();
-    world.After(world.Between(common::Duration(0), kSpread), [returning] { returning->Start(); });
+    world.After(world.RandomBetween(common::Duration(0), kStartSpread),
+                [returning] { returning->Start(); });
   }
 }
 
@@ -96,7 +97,7 @@
   shape.daemons = daemons;
   shape.zones = kZones;
   shape.groups = services;
-  shape.group.most_connections = kConnections;
+  shape.group.max_connections = kConnections;
   shape.group.slots = kSlots;
   shape.first_start = true;
   shape.encode_messages = true;
@@ -104,14 +105,14 @@
   ControlCost cost;
   cost.daemons = daemons;
   cost.services = services;
-  cost.start = PhaseMeter(cluster).Run(kStart);
-  cluster.Surroundings().RunUntil(cluster.Surroundings().Now() + kSettling);
-  cost.rest = PhaseMeter(cluster).Run(kRest);
-  cost.agreed_at_rest = Agreed(cluster);
-  PhaseMeter herd(cluster);
+  cost.start = PhaseMeter(cluster).Run(kStartTime);
+  cluster.SimWorld().RunUntil(cluster.SimWorld().Now() + kSettlingTime);
+  cost.idle = PhaseMeter(cluster).Run(kIdleTime);
+  cost.agreed_when_idle = AgreeOnCoordinators(cluster);
+  PhaseMeter restart(cluster);
   RestartAll(cluster);
-  cost.herd_return = herd.Run(kReturn);
-  cost.agreed_at_end = Agreed(cluster);
+  cost.mass_restart = restart.Run(kRestartTime);
+  cost.agreed_at_end = AgreeOnCoordinators(cluster);
   return cost;
 }
 
--- a/src/proxysim/daemon_host.h
+++ b/src/proxysim/daemon_host.h
@@ -23,11 +23,11 @@
 class DaemonHost;
 
 /// Takes what a daemon sends to a caller.
-struct CallerPort {
+struct CallerCallbacks {
   std::function<void(const model::Reply&)> answer;
   std::function<void()> accepted;
   std::function<void()> closed;
-  std::function<void()> asked_to_end;  // of sessions handed over
+  std::function<void()> end_requested;  // of sessions handed over
 };
 
 /// A caller's first message.
@@ -37,25 +37,25 @@
 };
 
 /// A command that a daemon has read.
-struct TakenCommand {
+struct PendingCommand {
   std::string id;
   common::Instant at{0};
 };
 
 /// A connection that a daemon has accepted.
-struct AcceptedCaller {
-  CallerPort port;
-  bool is_direct = false;               // else another daemon's, of a relayed session
-  std::deque<TakenCommand> unanswered;  // of direct callers
-  std::string owner;                    // newest that the session was handed to
+struct CallerConnection {
+  CallerCallbacks callbacks;
+  bool is_direct = false;                 // else another daemon's, of a relayed session
+  std::deque<PendingCommand> unanswered;  // of direct callers
+  std::string owner;                      // newest that the session was handed to
 };
 
 /// What a daemon has sent over all its lives.
 struct TrafficCounters {
-  std::size_t messages = 0;     // heartbeats
-  std::size_t bytes = 0;        // of these, if they are encoded
-  std::size_t largest = 0;      // bytes of the largest of them
-  std::size_t store_calls = 0;  // of any kind
+  std::size_t messages = 0;         // heartbeats
+  std::size_t bytes = 0;            // of these, if they are encoded
+  std::size_t largest_message = 0;  // bytes of the largest of them
+  std::size_t store_calls = 0;      // of any kind
 };
 
 /// A session that another daemon serves.
@@ -67,10 +67,10 @@
     common::Instant from_owner{0};
   };
   DaemonHost* owner = nullptr;
-  std::uint64_t owner_life = 0;
+  std::uint64_t owner_incarnation = 0;
   proxy::SessionNumber owner_session = 0;
   std::uint64_t epoch = 0;  // told apart from earlier links of the session
-  std::shared_ptr<Arrivals> last = std::make_shared<Arrivals>();
+  std::shared_ptr<Arrivals> last_arrivals = std::make_shared<Arrivals>();
 };
 
 class DaemonHost {
@@ -87,95 +87,97 @@
   bool Alive() const { return proxy_ != nullptr; }
   bool Ready() const { return Alive() && ready_; }
   /// @return true if it runs, and was not told to stop.
-  bool Runs() const { return Alive() && !frozen_ && !stopping_; }
+  bool IsOperating() const { return Alive() && !frozen_ && !stopping_; }
   const std::string& Name() const { return name_; }
   const std::string& Zone() const { return zone_; }
   const common::Endpoint& Address() const { return address_; }
-  proxy::Proxy* Decisions() { return proxy_.get(); }
+  proxy::Proxy* Proxy() { return proxy_.get(); }
   const TrafficCounters& Traffic() const { return traffic_; }
   /// @return the load over all lives, if it is recorded.
   const waiting::trace_recorder& Load() const { return load_; }
 
   // Callers.
-  void OpenSession(proxy::SessionNumber number, const SessionStart& start, CallerPort port);
+  void OpenSession(proxy::SessionNumber number, const SessionStart& start,
+                   CallerCallbacks callbacks);
   /// Takes a session that another daemon hands over.
-  void TakeHandover(proxy::SessionNumber number, const SessionStart& start,
-                    const proxy::SessionOrigin& origin, CallerPort port);
+  void AcceptHandover(proxy::SessionNumber number, const SessionStart& start,
+                      const proxy::SessionOrigin& origin, CallerCallbacks callbacks);
   void Command(proxy::SessionNumber number, const proxy::CallerCommand& command);
   void CloseSession(proxy::SessionNumber number);
 
   /// Delivers an event to this life, now or after a thaw.
-  void Deliver(std::uint64_t life, std::function<void()> event);
-  std::uint64_t Life() const { return life_; }
+  void Deliver(std::uint64_t incarnation, std::function<void()> event);
+  std::uint64_t Incarnation() const { return incarnation_; }
 
  private:
   /// @return false if the process is about to end and reads nothing more.
-  bool Reads() const;
+  bool AcceptsInput() const;
   /// The process ends.
-  void End();
+  void EndProcess();
   void Accept(proxy::SessionNumber number, const SessionStart& start,
-              const proxy::SessionOrigin& origin, AcceptedCaller caller);
+              const proxy::SessionOrigin& origin, CallerConnection caller);
   void Answer(proxy::SessionNumber number, const model::Reply& reply);
   /// Tells the checker of commands that the end of their connection cuts off.
-  void CheckAnswered(const AcceptedCaller& caller, const std::string& how);
+  void ReportUnanswered(const CallerConnection& caller, const std::string& how);
   /// Checks that an owner may hold a caller's request.
-  void CheckHolder(const DaemonHost& owner, const std::string& request_id);
+  void CheckOwnerRegion(const DaemonHost& owner, const std::string& request_id);
   /// Gives a relayed session's owner an event after the network's delay, if it is reached.
-  void ToOwner(const RelayLink& link, std::function<void(DaemonHost& owner)> event);
+  void SendToOwner(const RelayLink& link, std::function<void(DaemonHost& owner)> event);
   /// @return the port over which an owner answers to a relayed session of this daemon.
-  CallerPort RelayPort(proxy::SessionNumber number, const RelayLink& link);
+  CallerCallbacks RelayCallbacks(proxy::SessionNumber number, const RelayLink& link);
   /// Takes what an owner sends, after the network's delay, as long as the link stands.
-  void FromOwner(proxy::SessionNumber number, const RelayLink& link, std::function<void()> event);
+  void ReceiveFromOwner(proxy::SessionNumber number, const RelayLink& link,
+                        std::function<void()> event);
   /// @return the connection's number at the instances, unlike that of any other daemon or life.
-  std::uint64_t KeyOf(proxy::ConnectionNumber number) const;
-  void Tick(std::uint64_t life);
-  void Drain();
+  std::uint64_t ConnectionKey(proxy::ConnectionNumber number) const;
+  void Tick(std::uint64_t incarnation);
+  void PerformActions();
   /// Holds callers' statements that are sent to an instance against the regions in force here: by
   /// the time that they run this daemon may know a newer configuration.
   void CheckRegions(const std::string& instance,
                     const std::vector<model::InstanceRequest>& requests);
-  void Do(const proxy::OpenConnection& action);
-  void Do(const proxy::SendRequests& action);
-  void Do(const proxy::CloseConnection& action);
-  void Do(const proxy::AcceptSession& action);
-  void Do(const proxy::AnswerCaller& action);
-  void Do(const proxy::CloseSession& action);
-  void Do(const proxy::RelaySession& action);
-  void Do(const proxy::CloseRelay& action);
-  void Do(const proxy::AskToEnd& action);
-  void Do(const proxy::ReadCatalog& action);
-  void Do(const proxy::ReadLeadership& action);
-  void Do(const proxy::ReadConfiguration& action);
-  void Do(const proxy::WriteLeadership& action);
-  void Do(const proxy::WriteDaemon& action);
-  void Do(const proxy::Promote& action);
-  void Do(const proxy::SendPeer& action);
-  void Do(const proxy::FetchCatalog& action);
-  void Do(const proxy::SetReady& action);
-  void Do(const proxy::Exit& action);
-  void Do(const proxy::LogEvent& action);
+  void Perform(const proxy::OpenConnection& action);
+  void Perform(const proxy::SendRequests& action);
+  void Perform(const proxy::CloseConnection& action);
+  void Perform(const proxy::AcceptSession& action);
+  void Perform(const proxy::AnswerCaller& action);
+  void Perform(const proxy::CloseSession& action);
+  void Perform(const proxy::RelaySession& action);
+  void Perform(const proxy::CloseRelay& action);
+  void Perform(const proxy::AskToEnd& action);
+  void Perform(const proxy::ReadCatalog& action);
+  void Perform(const proxy::ReadLeadership& action);
+  void Perform(const proxy::ReadConfiguration& action);
+  void Perform(const proxy::WriteLeadership& action);
+  void Perform(const proxy::WriteDaemon& action);
+  void Perform(const proxy::Promote& action);
+  void Perform(const proxy::SendPeer& action);
+  void Perform(const proxy::FetchCatalog& action);
+  void Perform(const proxy::SetReady& action);
+  void Perform(const proxy::Exit& action);
+  void Perform(const proxy::LogEvent& action);
 
   Cluster& cluster_;
   std::string name_;
   std::string zone_;
   common::Endpoint address_;
   std::unique_ptr<proxy::Proxy> proxy_;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   waiting::trace_recorder load_;
   TrafficCounters traffic_;
   bool frozen_ = false;
   bool stopping_ = false;
   bool ready_ = false;
-  bool draining_ = false;
+  bool performing_ = false;
   bool exiting_ = false;  // the decision to end has been made
-  common::Instant told_to_stop_{0};
-  common::Instant decided_to_end_{0};
-  std::string lost_reason_;                 // of the relayed session that was lost last
-  std::deque<std::function<void()>> held_;  // while frozen
-  std::map<proxy::SessionNumber, AcceptedCaller> callers_;
-  std::map<proxy::SessionNumber, SessionStart> starts_;  // of the callers' sessions
+  common::Instant stop_signal_at_{0};
+  common::Instant exit_decided_at_{0};
+  std::string relay_lost_reason_;                     // of the relayed session that was lost last
+  std::deque<std::function<void()>> pending_events_;  // while frozen
+  std::map<proxy::SessionNumber, CallerConnection> callers_;
+  std::map<proxy::SessionNumber, SessionStart> session_starts_;  // of the callers' sessions
   std::map<proxy::SessionNumber, RelayLink> relays_;
-  std::uint64_t next_link_ = 1;
+  std::uint64_t next_epoch_ = 1;
   std::map<proxy::ConnectionNumber, std::string> connections_;  // instance by connection
 };
 
--- a/src/proxysim/database_group.cc
+++ b/src/proxysim/database_group.cc
@@ -11,10 +11,10 @@
 using model::ErrorCode;
 using model::TransactionState;
 
-constexpr Duration kLeastWork{2'000};
-constexpr Duration kMostWork{20'000};
-constexpr Duration kReplicateRetry{20'000};
-constexpr Duration kLearnOfLeader{1'000'000};
+constexpr Duration kMinWorkTime{2'000};
+constexpr Duration kMaxWorkTime{20'000};
+constexpr Duration kReplicationRetryInterval{20'000};
+constexpr Duration kDemotionDelay{1'000'000};
 
 std::string ValuesText(const std::map<std::string, std::string>& values) {
   std::string text = "{";
@@ -62,7 +62,7 @@
     return ErrorCode::kWrongInstance;
   }
   SimulatedInstance& instance = found->second;
-  if (instance.connections.size() >= shape_.most_connections) {
+  if (instance.connections.size() >= shape_.max_connections) {
     return ErrorCode::kTooManyConnections;
   }
   instance.connections.emplace(number, std::move(connection));
@@ -86,17 +86,17 @@
   if (connection == found->second.connections.end()) {
     return;
   }
-  if (on_work && std::holds_alternative<model::SessionRequest>(request)) {
-    on_work(id, connection->second.daemon);
+  if (on_request && std::holds_alternative<model::SessionRequest>(request)) {
+    on_request(id, connection->second.daemon);
   }
-  CheckCold(found->second, request);
+  CheckWarmUpLimit(found->second, request);
   connection->second.queue.push_back(request);
   if (!connection->second.busy) {
     RunNext(found->second, number);
   }
 }
 
-void DatabaseGroup::MakeCold(SimulatedInstance& instance) {
+void DatabaseGroup::StartWarmUp(SimulatedInstance& instance) {
   if (shape_.warm_up.time == Duration(0)) {
     return;
   }
@@ -105,15 +105,15 @@
   world_.After(shape_.warm_up.time, [this] { on_change(); });
 }
 
-void DatabaseGroup::CheckCold(const SimulatedInstance& instance,
-                              const model::InstanceRequest& request) {
+void DatabaseGroup::CheckWarmUpLimit(const SimulatedInstance& instance,
+                                     const model::InstanceRequest& request) {
   const auto* session = std::get_if<model::SessionRequest>(&request);
   const bool counted = session != nullptr && !session->request_id.empty();
   if (!counted || world_.Now() >= instance.cold_until) {
     return;
   }
-  const std::size_t arrived = cold_arrivals_.Note(instance.id, world_.Now());
-  const double most = shape_.warm_up.rate * shape_.tolerated.overage + shape_.tolerated.slack;
+  const std::size_t arrived = cold_requests_.RecordRequest(instance.id, world_.Now());
+  const double most = shape_.warm_up.rate * shape_.tolerance.overage + shape_.tolerance.slack;
   if (static_cast<double>(arrived) > most) {
     world_.Report("FAILBACK", instance.id + " got " + std::to_string(arrived) +
                                   " requests in a second while it was cold");
@@ -134,19 +134,19 @@
     Execute(id, number, request);
     return;
   }
-  if (instance.running >= shape_.slots + shape_.queue) {
-    Finish(id, number, Error(connection, ErrorCode::kBusy));
+  if (instance.running_requests >= shape_.slots + shape_.queue_limit) {
+    SendReply(id, number, ErrorReply(connection, ErrorCode::kBusy));
     return;
   }
-  ++instance.running;
-  const std::size_t ahead = instance.running / std::max<std::size_t>(1, shape_.slots);
-  const Duration work = world_.Between(kLeastWork, kMostWork);
+  ++instance.running_requests;
+  const std::size_t ahead = instance.running_requests / std::max<std::size_t>(1, shape_.slots);
+  const Duration work = world_.RandomBetween(kMinWorkTime, kMaxWorkTime);
   world_.After(work * static_cast<std::int64_t>(1 + ahead / 2), [this, id, number, request] {
     const auto found = instances_.find(id);
     if (found == instances_.end()) {
       return;
     }
-    found->second.running -= found->second.running > 0 ? 1 : 0;
+    found->second.running_requests -= found->second.running_requests > 0 ? 1 : 0;
     if (found->second.alive && found->second.connections.contains(number)) {
       Execute(id, number, request);
     }
@@ -158,12 +158,12 @@
   SimulatedInstance& instance = instances_.at(id);
   ServerConnection& connection = instance.connections.at(number);
   if (const auto* control = std::get_if<model::ControlRequest>(&request)) {
-    Finish(id, number, Control(instance, connection, *control));
+    SendReply(id, number, ExecuteControl(instance, connection, *control));
     return;
   }
   const auto& session = std::get<model::SessionRequest>(request);
   const CommandKind kind = session.command.kind;
-  model::Reply reply = Session(instance, connection, session);
+  model::Reply reply = ExecuteSession(instance, connection, session);
   const bool commits =
       reply.succeeded &&
       (kind == CommandKind::kCommit ||
@@ -174,10 +174,10 @@
     Commit(instance, number, writer);
     return;
   }
-  Finish(id, number, std::move(reply));
+  SendReply(id, number, std::move(reply));
 }
 
-void DatabaseGroup::Finish(const std::string& id, std::uint64_t number, model::Reply reply) {
+void DatabaseGroup::SendReply(const std::string& id, std::uint64_t number, model::Reply reply) {
   const auto found = instances_.find(id);
   if (found == instances_.end() || !found->second.connections.contains(number)) {
     return;
@@ -192,7 +192,7 @@
   RunNext(instance, number);
 }
 
-model::Reply DatabaseGroup::Error(const ServerConnection& connection, ErrorCode code) const {
+model::Reply DatabaseGroup::ErrorReply(const ServerConnection& connection, ErrorCode code) const {
   static_cast<void>(connection);
   model::Reply reply;
   reply.error = code;
@@ -216,8 +216,9 @@
   return status;
 }
 
-model::Reply DatabaseGroup::Control(SimulatedInstance& instance, ServerConnection& connection,
-                                    const model::ControlRequest& request) {
+model::Reply DatabaseGroup::ExecuteControl(SimulatedInstance& instance,
+                                           ServerConnection& connection,
+                                           const model::ControlRequest& request) {
   switch (request.kind) {
     case model::ControlKind::kResetSession:
       connection.values.clear();
@@ -264,8 +265,8 @@
   }
 }
 
-bool DatabaseGroup::Holds(const SimulatedInstance& instance, const AcknowledgedCommit& commit,
-                          std::size_t entries) const {
+bool DatabaseGroup::LogContains(const SimulatedInstance& instance, const AcknowledgedCommit& commit,
+                                std::size_t entries) const {
   for (std::size_t index = 0; index < entries; ++index) {
     const std::size_t from_end = entries - 1 - index;
     if (instance.log[from_end].id == commit.id) {
@@ -287,25 +288,26 @@
 }
 
 void DatabaseGroup::CheckRead(const SimulatedInstance& instance, const CallerAttempt& attempt) {
-  const std::vector<AcknowledgedCommit> required = history_.Required(attempt);
+  const std::vector<AcknowledgedCommit> required = history_.RequiredCommits(attempt);
   // The newest few are the ones that may be missing: logs are prefixes of each other.
   constexpr std::size_t kChecked = 4;
   for (std::size_t i = 0; i < std::min(kChecked, required.size()); ++i) {
     const AcknowledgedCommit& commit = required[required.size() - 1 - i];
-    if (!Holds(instance, commit, instance.applied)) {
+    if (!LogContains(instance, commit, instance.applied)) {
       world_.Report("STALE", attempt.id + " at " + instance.id + " misses " + commit.id);
     }
   }
 }
 
-model::Reply DatabaseGroup::Session(SimulatedInstance& instance, ServerConnection& connection,
-                                    const model::SessionRequest& request) {
+model::Reply DatabaseGroup::ExecuteSession(SimulatedInstance& instance,
+                                           ServerConnection& connection,
+                                           const model::SessionRequest& request) {
   const model::Command& command = request.command;
   model::Reply reply;
   reply.succeeded = true;
   reply.signature = "-";
   if (request.required && PositionOf(instance, instance.applied) < *request.required) {
-    return Error(connection, ErrorCode::kLagging);
+    return ErrorReply(connection, ErrorCode::kLagging);
   }
   switch (command.kind) {
     case CommandKind::kSet:
@@ -323,7 +325,7 @@
       const CallerAttempt* attempt = history_.Find(request.request_id);
       const bool read_only = command.kind == CommandKind::kBeginReadOnly;
       if (!read_only && !instance.primary) {
-        return Error(connection, ErrorCode::kReadOnly);
+        return ErrorReply(connection, ErrorCode::kReadOnly);
       }
       connection.state = TransactionState::kOpen;
       connection.read_only = read_only;
@@ -340,20 +342,20 @@
   }
   CheckKey(connection, *attempt);
   CheckConnection(instance, connection, *attempt);
-  const bool lost_lead =
+  const bool lost_primary_role =
       connection.state != TransactionState::kIdle && !connection.read_only && !instance.primary;
-  if (lost_lead) {
+  if (lost_primary_role) {
     connection.state =
         command.kind == CommandKind::kCommit ? TransactionState::kIdle : TransactionState::kFailed;
     connection.writer.clear();
-    return Error(connection, ErrorCode::kReadOnly);
+    return ErrorReply(connection, ErrorCode::kReadOnly);
   }
   reply.signature = request.request_id;
   if (command.kind == CommandKind::kRead) {
     CheckRead(instance, *attempt);
   } else if (command.kind == CommandKind::kWrite) {
     if (!instance.primary) {
-      return Error(connection, ErrorCode::kReadOnly);
+      return ErrorReply(connection, ErrorCode::kReadOnly);
     }
     if (connection.state == TransactionState::kOpen) {
       connection.writer = request.request_id;
@@ -368,13 +370,13 @@
                            const std::string& id) {
   instance.log.push_back({instance.term, id});
   instance.applied = instance.log.size();
-  history_.Committed(id);
+  history_.OnCommitted(id);
   const std::string at = instance.id;
   const auto done = [this, at, number, id] {
     model::Reply reply;
     reply.succeeded = true;
     reply.signature = id;
-    Finish(at, number, std::move(reply));
+    SendReply(at, number, std::move(reply));
   };
   if (shape_.sync_replicas == 0) {
     done();
@@ -390,26 +392,26 @@
       continue;
     }
     const std::string to = id;
-    world_.After(world_.Delay(), [this, from, to] { Receive(from, to); });
+    world_.After(world_.NetworkDelay(), [this, from, to] { ReceiveLog(from, to); });
   }
 }
 
-void DatabaseGroup::Receive(const std::string& from, const std::string& to) {
+void DatabaseGroup::ReceiveLog(const std::string& from, const std::string& to) {
   const auto leader = instances_.find(from);
   const auto replica = instances_.find(to);
   if (leader == instances_.end() || replica == instances_.end() || !leader->second.primary) {
     return;
   }
   SimulatedInstance& receiver = replica->second;
-  const bool takes =
-      leader->second.alive && receiver.alive && !receiver.primary && !receiver.deaf &&
-      receiver.term <= leader->second.term &&
+  const bool accepts =
+      leader->second.alive && receiver.alive && !receiver.primary &&
+      !receiver.replication_blocked && receiver.term <= leader->second.term &&
       (receiver.term < leader->second.term || receiver.log.size() <= leader->second.log.size()) &&
       (receiver.fenced_term == 0 || receiver.term < leader->second.term) &&
       world_.Reaches(from, to);
-  if (!takes) {
+  if (!accepts) {
     if (receiver.log.size() < leader->second.log.size() || receiver.term < leader->second.term) {
-      world_.After(kReplicateRetry, [this, from, to] { Receive(from, to); });
+      world_.After(kReplicationRetryInterval, [this, from, to] { ReceiveLog(from, to); });
     }
     return;
   }
@@ -428,9 +430,9 @@
   std::vector<std::function<void()>> done;
   for (auto pending = pending_.begin(); pending != pending_.end();) {
     if (pending->instance == from && pending->index <= received) {
-      pending->held_by.insert(to);
+      pending->replicas.insert(to);
     }
-    if (pending->held_by.size() >= shape_.sync_replicas) {
+    if (pending->replicas.size() >= shape_.sync_replicas) {
       done.push_back(std::move(pending->done));
       pending = pending_.erase(pending);
     } else {
@@ -454,7 +456,7 @@
     const bool kept = std::any_of(leader.log.begin(), leader.log.end(),
                                   [&](const LogEntry& entry) { return entry.id == id; });
     if (!kept) {
-      history_.RolledBack(id);
+      history_.OnRolledBack(id);
     }
   }
   instance.log.resize(common);
@@ -469,11 +471,11 @@
   if (found->second.primary && Primary() == &found->second) {
     return true;
   }
-  world_.After(shape_.promote_time, [this, id] { Lead(id); });
+  world_.After(shape_.promotion_time, [this, id] { BecomePrimary(id); });
   return true;
 }
 
-void DatabaseGroup::Lead(const std::string& id) {
+void DatabaseGroup::BecomePrimary(const std::string& id) {
   const auto found = instances_.find(id);
   if (found == instances_.end() || !found->second.alive) {
     return;
@@ -489,11 +491,11 @@
   leader.applied = leader.log.size();
   const std::vector<AcknowledgedCommit> acknowledged = history_.AcknowledgedOf(service_);
   for (const AcknowledgedCommit& commit : acknowledged) {
-    if (Holds(leader, commit, leader.log.size())) {
+    if (LogContains(leader, commit, leader.log.size())) {
       continue;
     }
     // Without synchronous replicas a commit may be taken back; that is the group's own choice.
-    history_.TakenBack(service_, commit.id);
+    history_.RemoveAcknowledged(service_, commit.id);
     if (shape_.sync_replicas > 0) {
       world_.Report("LOST", commit.id + " is missing at " + id);
     }
@@ -504,13 +506,13 @@
       continue;
     }
     const std::string former = other;
-    world_.After(kLearnOfLeader, [this, former, id] {
+    world_.After(kDemotionDelay, [this, former, id] {
       const auto old = instances_.find(former);
       const auto now_leading = instances_.find(id);
-      const bool learns = old != instances_.end() && now_leading != instances_.end() &&
-                          old->second.alive && now_leading->second.primary &&
-                          world_.Reaches(former, id);
-      if (learns && old->second.term < now_leading->second.term) {
+      const bool demotes = old != instances_.end() && now_leading != instances_.end() &&
+                           old->second.alive && now_leading->second.primary &&
+                           world_.Reaches(former, id);
+      if (demotes && old->second.term < now_leading->second.term) {
         old->second.primary = false;
         TruncateTo(old->second, now_leading->second);
         std::erase_if(pending_, [&](const PendingCommit& each) { return each.instance == former; });
@@ -523,10 +525,10 @@
 }
 
 void DatabaseGroup::Crash(const std::string& id, bool silent) {
-  world_.NoteTrouble(service_);
+  world_.RecordFault(service_);
   SimulatedInstance& instance = instances_.at(id);
   instance.alive = false;
-  instance.running = 0;
+  instance.running_requests = 0;
   std::erase_if(pending_, [&](const PendingCommit& each) { return each.instance == id; });
   auto connections = std::exchange(instance.connections, {});
   for (auto& [number, connection] : connections) {
@@ -542,11 +544,11 @@
   if (found == instances_.end() || found->second.alive) {
     return;
   }
-  world_.NoteTrouble(service_);
+  world_.RecordFault(service_);
   SimulatedInstance& instance = found->second;
   instance.alive = true;
   instance.fenced_term = 0;
-  MakeCold(instance);
+  StartWarmUp(instance);
   SimulatedInstance* leader = Primary();
   if (leader != nullptr && leader->id != id && leader->term > instance.term) {
     instance.primary = false;
@@ -559,7 +561,7 @@
   on_change();
 }
 
-void DatabaseGroup::RestartAnew(const std::string& id, bool leads) {
+void DatabaseGroup::RestartEmpty(const std::string& id, bool leads) {
   if (instances_.at(id).alive) {
     Crash(id, false);
   }
@@ -571,7 +573,7 @@
   instance.term = leads ? instance.term : 1;
   instance.fenced_term = 0;
   instance.alive = true;
-  MakeCold(instance);
+  StartWarmUp(instance);
   SimulatedInstance* leader = Primary();
   if (leader != nullptr && leader->id != id) {
     Replicate(leader->id);
@@ -579,7 +581,7 @@
   on_change();
 }
 
-void DatabaseGroup::RestartAs(const std::string& instance, const std::string& id) {
+void DatabaseGroup::RestartRenamed(const std::string& instance, const std::string& id) {
   auto node = instances_.extract(instance);
   if (node.empty()) {
     return;
@@ -595,7 +597,7 @@
   instance.id = id;
   SimulatedInstance* leader = Primary();
   instance.term = leader == nullptr ? 1 : leader->term;
-  MakeCold(instance);
+  StartWarmUp(instance);
   instances_.emplace(id, std::move(instance));
   if (leader != nullptr) {
     Replicate(leader->id);
--- a/src/proxysim/database_group.h
+++ b/src/proxysim/database_group.h
@@ -16,7 +16,7 @@
 #include "model/catalog.h"
 #include "model/reply.h"
 #include "model/request.h"
-#include "proxysim/cold_arrivals.h"
+#include "proxysim/cold_request_counter.h"
 #include "proxysim/history.h"
 #include "proxysim/key_history.h"
 #include "proxysim/world.h"
@@ -60,9 +60,9 @@
   std::vector<LogEntry> log;
   std::size_t applied = 0;  // entries that reads see
   common::Duration lag{8'000};
-  bool deaf = false;  // receives nothing
+  bool replication_blocked = false;  // receives nothing
   std::map<std::uint64_t, ServerConnection> connections;
-  std::size_t running = 0;
+  std::size_t running_requests = 0;
   common::Instant cold_until{0};
   std::uint64_t incarnation = 1;  // of its present life
 };
@@ -71,12 +71,12 @@
 struct GroupShape {
   std::size_t instances = 3;
   std::size_t slots = 3;
-  std::size_t queue = 24;
-  std::size_t most_connections = 34;
+  std::size_t queue_limit = 24;
+  std::size_t max_connections = 34;
   std::uint32_t sync_replicas = 1;
-  common::Duration promote_time{300'000};
+  common::Duration promotion_time{300'000};
   model::WarmUp warm_up;         // of instances that start while the day runs; off by default
-  warm_up::tolerance tolerated;  // beyond its rate
+  warm_up::tolerance tolerance;  // beyond its rate
   /// A primary that comes back sends its log to replicas at once; else with its next commit.
   bool sends_log_at_restart = false;
 };
@@ -105,16 +105,16 @@
 
   /// An instance starts again under its id, with nothing of before. @param leads it takes itself
   /// for the primary of the term that it was started with, else for a replica.
-  void RestartAnew(const std::string& instance, bool leads);
+  void RestartEmpty(const std::string& instance, bool leads);
 
   /// A crashed instance comes back with its log under another id.
-  void RestartAs(const std::string& instance, const std::string& id);
+  void RestartRenamed(const std::string& instance, const std::string& id);
   void AddReplica(const std::string& id);
   void RemoveInstance(const std::string& id);
 
   /// Part of the answers of the primary that are lost from now on.
-  void SetLostAnswers(double share) {
-    world_.NoteTrouble(service_);
+  void SetLostAnswerShare(double share) {
+    world_.RecordFault(service_);
     lost_answers_ = share;
   }
 
@@ -122,28 +122,28 @@
   const KeyHistory* keys = nullptr;  // checked against, if set
   std::function<void()> on_change;
   /// Told of each of the callers' requests that arrives, if set.
-  std::function<void(const std::string& instance, const std::string& daemon)> on_work;
+  std::function<void(const std::string& instance, const std::string& daemon)> on_request;
 
  private:
   struct PendingCommit {
     std::size_t index = 0;
-    std::set<std::string> held_by;
+    std::set<std::string> replicas;
     std::function<void()> done;
     std::string instance;
   };
 
   /// The instance starts now.
-  void MakeCold(SimulatedInstance& instance);
+  void StartWarmUp(SimulatedInstance& instance);
   /// Checks how many callers' requests a cold instance gets.
-  void CheckCold(const SimulatedInstance& instance, const model::InstanceRequest& request);
+  void CheckWarmUpLimit(const SimulatedInstance& instance, const model::InstanceRequest& request);
   void RunNext(SimulatedInstance& instance, std::uint64_t number);
   void Execute(const std::string& instance, std::uint64_t number,
                const model::InstanceRequest& request);
-  void Finish(const std::string& instance, std::uint64_t number, model::Reply reply);
-  model::Reply Control(SimulatedInstance& instance, ServerConnection& connection,
-                       const model::ControlRequest& request);
-  model::Reply Session(SimulatedInstance& instance, ServerConnection& connection,
-                       const model::SessionRequest& request);
+  void SendReply(const std::string& instance, std::uint64_t number, model::Reply reply);
+  model::Reply ExecuteControl(SimulatedInstance& instance, ServerConnection& connection,
+                              const model::ControlRequest& request);
+  model::Reply ExecuteSession(SimulatedInstance& instance, ServerConnection& connection,
+                              const model::SessionRequest& request);
   void CheckConnection(const SimulatedInstance& instance, const ServerConnection& connection,
                        const CallerAttempt& attempt);
   /// Checks that the connection's tenant has, or had not long ago, the caller's key.
@@ -151,12 +151,12 @@
   void CheckRead(const SimulatedInstance& instance, const CallerAttempt& attempt);
   void Commit(SimulatedInstance& instance, std::uint64_t number, const std::string& id);
   void Replicate(const std::string& from);
-  void Receive(const std::string& from, const std::string& to);
-  void Lead(const std::string& id);
+  void ReceiveLog(const std::string& from, const std::string& to);
+  void BecomePrimary(const std::string& id);
   void TruncateTo(SimulatedInstance& instance, const SimulatedInstance& leader);
-  bool Holds(const SimulatedInstance& instance, const AcknowledgedCommit& commit,
-             std::size_t entries) const;
-  model::Reply Error(const ServerConnection& connection, model::ErrorCode code) const;
+  bool LogContains(const SimulatedInstance& instance, const AcknowledgedCommit& commit,
+                   std::size_t entries) const;
+  model::Reply ErrorReply(const ServerConnection& connection, model::ErrorCode code) const;
   common::Position PositionOf(const SimulatedInstance& instance, std::size_t entries) const;
   model::InstanceStatus StatusOf(const SimulatedInstance& instance) const;
 
@@ -167,7 +167,7 @@
   std::map<std::string, SimulatedInstance> instances_;
   std::vector<PendingCommit> pending_;
   double lost_answers_ = 0;
-  ColdArrivals cold_arrivals_;
+  ColdRequestCounter cold_requests_;
 };
 
 }  // namespace valvekeel::proxysim
--- a/src/proxysim/evacuation_monitor.h
+++ b/src/proxysim/evacuation_monitor.h
@@ -24,27 +24,30 @@
   explicit EvacuationMonitor(World& world) : world_(world) {}
 
   /// Begins to look for disturbances. @param look calls NoteDaemon or NoteStore for each found.
-  void Watch(std::function<void()> look);
+  void Start(std::function<void()> look);
 
-  void NoteDaemon(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
-  void NoteStore() { store_disturbed_ = world_.Now(); }
+  void RecordDaemonDisturbance(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
+  void RecordStoreDisturbance() { store_disturbed_ = world_.Now(); }
 
   /// The store has taken an evacuation, or its end.
-  void Begin(const std::string& zone) { since_.emplace(zone, world_.Now()); }
-  void End(const std::string& zone) { since_.erase(zone); }
-  bool Evacuated(const std::string& zone) const { return since_.contains(zone); }
+  void OnEvacuationStarted(const std::string& zone) {
+    evacuated_since_.emplace(zone, world_.Now());
+  }
+  void OnEvacuationEnded(const std::string& zone) { evacuated_since_.erase(zone); }
+  bool IsEvacuated(const std::string& zone) const { return evacuated_since_.contains(zone); }
 
   /// Work of callers has reached an instance of the zone.
-  void WorkArrived(const std::string& zone, const std::string& instance, const std::string& daemon);
+  void OnRequestArrived(const std::string& zone, const std::string& instance,
+                        const std::string& daemon);
 
  private:
-  static constexpr common::Duration kContact{5'000'000};
-  static constexpr common::Duration kLookInterval{10'000};
+  static constexpr common::Duration kUndisturbedTime{5'000'000};
+  static constexpr common::Duration kCheckInterval{10'000};
 
   World& world_;
-  std::function<void()> look_;
-  std::map<std::string, common::Instant> since_;      // by evacuated zone
-  std::map<std::string, common::Instant> disturbed_;  // by daemon
+  std::function<void()> check_;
+  std::map<std::string, common::Instant> evacuated_since_;  // by evacuated zone
+  std::map<std::string, common::Instant> disturbed_;        // by daemon
   common::Instant store_disturbed_{0};
 };
 
--- a/src/proxysim/history.cc
+++ b/src/proxysim/history.cc
@@ -14,7 +14,7 @@
   return found == attempts_.end() ? nullptr : &found->second;
 }
 
-bool History::Committed(const std::string& id) {
+bool History::OnCommitted(const std::string& id) {
   CallerAttempt* attempt = Find(id);
   if (attempt == nullptr) {
     world_.Report("UNASKED", "commit of " + id);
@@ -31,13 +31,13 @@
   return first;
 }
 
-void History::RolledBack(const std::string& id) {
+void History::OnRolledBack(const std::string& id) {
   if (CallerAttempt* attempt = Find(id)) {
     attempt->committed = false;
   }
 }
 
-void History::Acknowledged(const std::string& id, const common::Position& position) {
+void History::OnAcknowledged(const std::string& id, const common::Position& position) {
   CallerAttempt* attempt = Find(id);
   attempt->acknowledged = true;
   if (!attempt->committed) {
@@ -46,12 +46,12 @@
   acknowledged_[attempt->service].push_back({world_.Now(), position, id, attempt->session});
 }
 
-void History::TakenBack(const std::string& service, const std::string& id) {
+void History::RemoveAcknowledged(const std::string& service, const std::string& id) {
   std::erase_if(acknowledged_[service],
                 [&](const AcknowledgedCommit& commit) { return commit.id == id; });
 }
 
-void History::Refused(const std::string& id) {
+void History::OnRefused(const std::string& id) {
   CallerAttempt* attempt = Find(id);
   attempt->refused = true;
   if (attempt->committed) {
@@ -59,7 +59,7 @@
   }
 }
 
-std::vector<AcknowledgedCommit> History::Required(const CallerAttempt& reader) const {
+std::vector<AcknowledgedCommit> History::RequiredCommits(const CallerAttempt& reader) const {
   std::vector<AcknowledgedCommit> required;
   const auto found = acknowledged_.find(reader.service);
   if (found == acknowledged_.end()) {
--- a/src/proxysim/history.h
+++ b/src/proxysim/history.h
@@ -51,23 +51,23 @@
   CallerAttempt* Find(const std::string& id);
 
   /// An instance has committed the attempt. @return false if that happened before (TWICE).
-  bool Committed(const std::string& id);
+  bool OnCommitted(const std::string& id);
 
   /// A commit was taken back by a promotion.
-  void RolledBack(const std::string& id);
+  void OnRolledBack(const std::string& id);
 
-  void Acknowledged(const std::string& id, const common::Position& position);
+  void OnAcknowledged(const std::string& id, const common::Position& position);
   /// A promotion has taken an acknowledged commit back: readers need not see it any more.
-  void TakenBack(const std::string& service, const std::string& id);
-  void Refused(const std::string& id);
+  void RemoveAcknowledged(const std::string& service, const std::string& id);
+  void OnRefused(const std::string& id);
 
   /// @return the highest acknowledged commits that a read must see.
-  std::vector<AcknowledgedCommit> Required(const CallerAttempt& reader) const;
+  std::vector<AcknowledgedCommit> RequiredCommits(const CallerAttempt& reader) const;
 
   const std::vector<AcknowledgedCommit>& AcknowledgedOf(const std::string& service) const;
   std::size_t Attempts() const { return attempts_.size(); }
   std::size_t Succeeded() const { return succeeded_; }
-  void NoteSuccess() { ++succeeded_; }
+  void OnSuccess() { ++succeeded_; }
 
  private:
   World& world_;
--- a/src/proxysim/key_history.cc
+++ b/src/proxysim/key_history.cc
@@ -6,7 +6,7 @@
   holders_[key].emplace_back(now, tenant);
 }
 
-std::string KeyHistory::Holder(const std::string& key) const {
+std::string KeyHistory::TenantOf(const std::string& key) const {
   const auto found = holders_.find(key);
   return found == holders_.end() ? "" : found->second.back().second;
 }
--- a/src/proxysim/key_history.h
+++ b/src/proxysim/key_history.h
@@ -18,7 +18,7 @@
   void Set(const std::string& key, const std::string& tenant, common::Instant now);
 
   /// @return the key's tenant now, empty if it has none.
-  std::string Holder(const std::string& key) const;
+  std::string TenantOf(const std::string& key) const;
 
   /// @return true if the tenant held the key at some time within the span.
   bool HeldWithin(const std::string& key, const std::string& tenant, common::Instant from,
--- a/src/proxysim/load_balancer.cc
+++ b/src/proxysim/load_balancer.cc
@@ -7,20 +7,20 @@
 LoadBalancer::LoadBalancer(World& world, std::vector<DaemonHost*> daemons)
     : world_(world), daemons_(std::move(daemons)) {
   for (DaemonHost* daemon : daemons_) {
-    world_.After(world_.Between(common::Duration(0), kAskInterval),
-                 [this, daemon] { Ask(*daemon); });
+    world_.After(world_.RandomBetween(common::Duration(0), kProbeInterval),
+                 [this, daemon] { Probe(*daemon); });
   }
 }
 
-void LoadBalancer::Ask(DaemonHost& daemon) {
-  unsigned& misses = misses_[&daemon];
+void LoadBalancer::Probe(DaemonHost& daemon) {
+  unsigned& misses = failed_probes_[&daemon];
   misses = daemon.Ready() ? 0 : misses + 1;
-  world_.After(kAskInterval, [this, &daemon] { Ask(daemon); });
+  world_.After(kProbeInterval, [this, &daemon] { Probe(daemon); });
 }
 
-bool LoadBalancer::In(const DaemonHost& daemon) const {
-  const auto found = misses_.find(&daemon);
-  return found == misses_.end() || found->second < kMissesUntilOut;
+bool LoadBalancer::IsInRotation(const DaemonHost& daemon) const {
+  const auto found = failed_probes_.find(&daemon);
+  return found == failed_probes_.end() || found->second < kFailedProbesUntilOut;
 }
 
 DaemonHost& LoadBalancer::Choose(const std::string& zone) {
@@ -32,7 +32,7 @@
     if (near) {
       of_zone.push_back(daemon);
     }
-    if (In(*daemon)) {
+    if (IsInRotation(*daemon)) {
       in.push_back(daemon);
       if (near) {
         in_zone.push_back(daemon);
@@ -44,7 +44,7 @@
                                      : !in_zone.empty() ? of_zone
                                      : !in.empty()      ? in
                                                         : daemons_;
-  return *chosen[world_.Below(chosen.size())];
+  return *chosen[world_.RandomBelow(chosen.size())];
 }
 
 }  // namespace valvekeel::proxysim
--- a/src/proxysim/load_balancer.h
+++ b/src/proxysim/load_balancer.h
@@ -23,15 +23,15 @@
   DaemonHost& Choose(const std::string& zone);
 
  private:
-  static constexpr common::Duration kAskInterval{1'000'000};
-  static constexpr unsigned kMissesUntilOut = 2;
+  static constexpr common::Duration kProbeInterval{1'000'000};
+  static constexpr unsigned kFailedProbesUntilOut = 2;
 
-  void Ask(DaemonHost& daemon);
-  bool In(const DaemonHost& daemon) const;
+  void Probe(DaemonHost& daemon);
+  bool IsInRotation(const DaemonHost& daemon) const;
 
   World& world_;
   std::vector<DaemonHost*> daemons_;
-  std::map<const DaemonHost*, unsigned> misses_;  // in a row
+  std::map<const DaemonHost*, unsigned> failed_probes_;  // in a row
 };
 
 }  // namespace valvekeel::proxysim
--- a/src/proxysim/region_checker.cc
+++ b/src/proxysim/region_checker.cc
@@ -8,20 +8,20 @@
 /// Time from a version's writing until it must be in force, as on the users' sites.
 constexpr common::Duration kInForceLimit{5'000'000};
 
-bool Names(const std::vector<std::string>& regions, const std::string& region) {
+bool Includes(const std::vector<std::string>& regions, const std::string& region) {
   return regions.empty() || std::find(regions.begin(), regions.end(), region) != regions.end();
 }
 
 }  // namespace
 
-void RegionChecker::Note(const model::Configuration& configuration, common::Instant now) {
+void RegionChecker::RecordVersion(const model::Configuration& configuration, common::Instant now) {
   versions_.emplace_back(now, configuration);
 }
 
 bool RegionChecker::AllowedBy(const model::Configuration& configuration,
                               const CallerAttempt& attempt, const std::string& region) {
   const auto route = configuration.routes.find(attempt.database);
-  if (route != configuration.routes.end() && !Names(route->second.allowed_regions, region)) {
+  if (route != configuration.routes.end() && !Includes(route->second.allowed_regions, region)) {
     return false;
   }
   const tenants::key_digest key = tenants::digest_of(attempt.key);
@@ -29,7 +29,7 @@
                      [&](const auto& each) {
                        const auto& keys = each.second.keys;
                        const bool holds = std::find(keys.begin(), keys.end(), key) != keys.end();
-                       return !holds || Names(each.second.allowed_regions, region);
+                       return !holds || Includes(each.second.allowed_regions, region);
                      });
 }
 
--- a/src/proxysim/region_checker.h
+++ b/src/proxysim/region_checker.h
@@ -23,7 +23,7 @@
       : region_by_zone_(std::move(region_by_zone)) {}
 
   /// Notes a version that the store has taken.
-  void Note(const model::Configuration& configuration, common::Instant now);
+  void RecordVersion(const model::Configuration& configuration, common::Instant now);
 
   /// @param known  version that the deciding daemon has in force; nothing if it has ended
   /// @return true if some version that the daemon may go by lets the attempt be in the zone: those
--- a/src/proxysim/scenario.cc
+++ b/src/proxysim/scenario.cc
@@ -15,44 +15,47 @@
 using common::Duration;
 using common::Instant;
 
-constexpr Duration kShortest{1'500'000};
-constexpr Duration kLongest{7'000'000};
-constexpr Duration kReplacementStart{1'500'000};
+constexpr Duration kMinFaultTime{1'500'000};
+constexpr Duration kMaxFaultTime{7'000'000};
+constexpr Duration kReplacementStartTime{1'500'000};
 constexpr Duration kDrainTime{8'000'000};
-constexpr Duration kLastSeconds{3'000'000};
-constexpr double kReturnsRenamed = 0.5;
-constexpr double kServedAtEnd = 0.9;
+constexpr Duration kFinalPeriod{3'000'000};
+constexpr double kRenamedProbability = 0.5;
+constexpr double kMinServedAtEnd = 0.9;
 const std::string kPlatform = "platform";
 
 constexpr std::size_t kKeyChanges = 8;     // of a day with tenants
 constexpr std::size_t kEvacuations = 3;    // of a day with evacuations
 constexpr std::size_t kRegionChanges = 8;  // of a day with regions
 constexpr std::size_t kRegions = 2;
-constexpr std::size_t kConfigurations = 4;  // of a day of planned stops
-constexpr std::size_t kRestores = 3;        // of a day on which the store returns from copies
+constexpr std::size_t kConfigurationChanges = 4;  // of a day of planned stops
+constexpr std::size_t kRestores = 3;              // of a day on which the store returns from copies
 
 /// Draws and carries out the faults of one day.
 class FaultInjector {
  public:
   /// @param anew instances that end start again under their id, with nothing of before.
-  FaultInjector(Cluster& cluster, std::vector<std::string>& told, bool anew)
-      : cluster_(cluster), world_(cluster.Surroundings()), told_(told), anew_(anew) {}
+  FaultInjector(Cluster& cluster, std::vector<std::string>& event_log, bool restart_empty)
+      : cluster_(cluster),
+        world_(cluster.SimWorld()),
+        event_log_(event_log),
+        restart_empty_(restart_empty) {}
 
   /// Begins one fault now; it ends by itself.
   void Begin() {
     static constexpr std::size_t kKinds = 16;
     using Fault = void (FaultInjector::*)();
     static const std::array<Fault, kKinds> kFaults = {
-        &FaultInjector::KillDaemon,      &FaultInjector::KillMany,
-        &FaultInjector::FreezeDaemon,    &FaultInjector::StopDaemon,
-        &FaultInjector::CutFromStore,    &FaultInjector::CutFromDaemons,
-        &FaultInjector::CutFromInstance, &FaultInjector::CrashPrimary,
-        &FaultInjector::DarkPrimary,     &FaultInjector::CrashReplica,
-        &FaultInjector::CutPrimary,      &FaultInjector::LagReplicas,
-        &FaultInjector::DeafReplica,     &FaultInjector::StoreTrouble,
-        &FaultInjector::ReplacePrimary,  &FaultInjector::LoseAnswers};
+        &FaultInjector::KillDaemon,         &FaultInjector::KillMany,
+        &FaultInjector::FreezeDaemon,       &FaultInjector::StopDaemon,
+        &FaultInjector::CutFromStore,       &FaultInjector::CutFromDaemons,
+        &FaultInjector::CutFromInstance,    &FaultInjector::CrashPrimary,
+        &FaultInjector::UnreachablePrimary, &FaultInjector::CrashReplica,
+        &FaultInjector::CutPrimary,         &FaultInjector::LagReplicas,
+        &FaultInjector::BlockReplication,   &FaultInjector::DisturbStore,
+        &FaultInjector::ReplacePrimary,     &FaultInjector::LoseAnswers};
     const bool zones_return = cluster_.Shape().group.warm_up.time > Duration(0);
-    const std::uint64_t drawn = world_.Below(zones_return ? kKinds + 1 : kKinds);
+    const std::uint64_t drawn = world_.RandomBelow(zones_return ? kKinds + 1 : kKinds);
     if (drawn == kKinds) {
       CrashZone();
     } else {
@@ -61,18 +64,18 @@
   }
 
   void KillMany() {
-    Tell("kill most daemons");
+    LogEvent("kill most daemons");
     for (const auto& daemon : cluster_.Daemons()) {
       if (world_.Chance(0.7)) {
         DaemonHost* killed = daemon.get();
         killed->Kill();
-        world_.After(kShortest, [killed] { killed->Start(); });
+        world_.After(kMinFaultTime, [killed] { killed->Start(); });
       }
     }
   }
 
   void CrashPrimary() {
-    DatabaseGroup& group = AnyGroup();
+    DatabaseGroup& group = RandomGroup();
     Crash(group, group.Primary() == nullptr ? "" : group.Primary()->id, false);
   }
 
@@ -88,11 +91,11 @@
         parties[regions.at(cluster_.ZoneOfInstance(id))].push_back(id);
       }
     }
-    if (world_.Chance(kStoreInOneRegion)) {
+    if (world_.Chance(kStoreInOneRegionProbability)) {
       parties[RegionName(0)].insert(parties[RegionName(0)].end(), {kStore, kPlatform});
     }
-    Tell("cut the regions");
-    const Duration length = Length();
+    LogEvent("cut the regions");
+    const Duration length = RandomLength();
     for (const std::string& near : parties[RegionName(0)]) {
       for (const std::string& far : parties[RegionName(1)]) {
         world_.CutBoth(near, far);
@@ -102,51 +105,53 @@
   }
 
  private:
-  static constexpr double kStoreInOneRegion = 0.5;
-  static constexpr double kLeadsOn = 0.5;
-  static constexpr Duration kBetweenAnew{10'000'000};
+  static constexpr double kStoreInOneRegionProbability = 0.5;
+  static constexpr double kStaysPrimaryProbability = 0.5;
+  static constexpr Duration kMinEmptyRestartInterval{10'000'000};
 
-  Duration Length() { return world_.Between(kShortest, kLongest); }
+  Duration RandomLength() { return world_.RandomBetween(kMinFaultTime, kMaxFaultTime); }
 
-  DaemonHost& AnyDaemon() { return *cluster_.Daemons()[world_.Below(cluster_.Daemons().size())]; }
+  DaemonHost& RandomDaemon() {
+    return *cluster_.Daemons()[world_.RandomBelow(cluster_.Daemons().size())];
+  }
 
-  DatabaseGroup& AnyGroup() {
+  DatabaseGroup& RandomGroup() {
     auto group = cluster_.Groups().begin();
-    std::advance(group, world_.Below(cluster_.Groups().size()));
+    std::advance(group, world_.RandomBelow(cluster_.Groups().size()));
     return *group->second;
   }
 
-  std::string AnyReplica(DatabaseGroup& group) {
+  std::string RandomReplica(DatabaseGroup& group) {
     std::vector<std::string> replicas;
     for (const auto& [id, instance] : group.Instances()) {
       if (!instance.primary && instance.alive) {
         replicas.push_back(id);
       }
     }
-    return replicas.empty() ? "" : replicas[world_.Below(replicas.size())];
+    return replicas.empty() ? "" : replicas[world_.RandomBelow(replicas.size())];
   }
 
-  void Tell(const std::string& what) {
-    told_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: " + what);
+  void LogEvent(const std::string& what) {
+    event_log_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: " + what);
   }
 
   void KillDaemon() {
-    DaemonHost& daemon = AnyDaemon();
-    Tell("kill " + daemon.Name());
+    DaemonHost& daemon = RandomDaemon();
+    LogEvent("kill " + daemon.Name());
     daemon.Kill();
-    world_.After(Length(), [&daemon] { daemon.Start(); });
+    world_.After(RandomLength(), [&daemon] { daemon.Start(); });
   }
 
   void FreezeDaemon() {
-    DaemonHost& daemon = AnyDaemon();
-    Tell("freeze " + daemon.Name());
+    DaemonHost& daemon = RandomDaemon();
+    LogEvent("freeze " + daemon.Name());
     daemon.Freeze();
-    world_.After(Length(), [&daemon] { daemon.Thaw(); });
+    world_.After(RandomLength(), [&daemon] { daemon.Thaw(); });
   }
 
   void StopDaemon() {
-    DaemonHost& daemon = AnyDaemon();
-    Tell("stop " + daemon.Name());
+    DaemonHost& daemon = RandomDaemon();
+    LogEvent("stop " + daemon.Name());
     daemon.Stop();
   }
 
@@ -155,21 +160,21 @@
     if (!one_way) {
       world_.Cut(b, a);
     }
-    world_.After(Length(), [this, a, b] { world_.HealBoth(a, b); });
+    world_.After(RandomLength(), [this, a, b] { world_.HealBoth(a, b); });
   }
 
   void CutFromStore() {
-    DaemonHost& daemon = AnyDaemon();
+    DaemonHost& daemon = RandomDaemon();
     const bool one_way = world_.Chance(0.3);
-    Tell("cut " + daemon.Name() + " from the store");
+    LogEvent("cut " + daemon.Name() + " from the store");
     CutPair(daemon.Name(), kStore, one_way);
     CutPair(daemon.Name(), kPlatform, one_way);
   }
 
   void CutFromDaemons() {
-    DaemonHost& daemon = AnyDaemon();
+    DaemonHost& daemon = RandomDaemon();
     const bool one_way = world_.Chance(0.3);
-    Tell("cut " + daemon.Name() + " from the other daemons");
+    LogEvent("cut " + daemon.Name() + " from the other daemons");
     for (const auto& other : cluster_.Daemons()) {
       if (other->Name() != daemon.Name()) {
         CutPair(daemon.Name(), other->Name(), one_way);
@@ -178,11 +183,11 @@
   }
 
   void CutFromInstance() {
-    DaemonHost& daemon = AnyDaemon();
-    DatabaseGroup& group = AnyGroup();
+    DaemonHost& daemon = RandomDaemon();
+    DatabaseGroup& group = RandomGroup();
     for (const auto& [id, instance] : group.Instances()) {
       if (world_.Chance(0.6)) {
-        Tell("cut " + daemon.Name() + " from " + id);
+        LogEvent("cut " + daemon.Name() + " from " + id);
         CutPair(daemon.Name(), id, world_.Chance(0.3));
       }
     }
@@ -190,45 +195,45 @@
 
   /// One instance starts again with nothing. Not while another is away, or has lately done so: what
   /// it held may then be nowhere else, and the group waits for it for good.
-  void RestartAnew(DatabaseGroup& group, const std::string& id) {
+  void RestartEmpty(DatabaseGroup& group, const std::string& id) {
     const auto& instances = group.Instances();
     const bool all_there = std::all_of(instances.begin(), instances.end(), [](const auto& each) {
-      return each.second.alive && !each.second.deaf;
+      return each.second.alive && !each.second.replication_blocked;
     });
-    Instant& last = last_anew_[group.Service()];
-    if (!all_there || (last != Instant(0) && world_.Now() < last + kBetweenAnew)) {
+    Instant& last = last_empty_restart_[group.Service()];
+    if (!all_there || (last != Instant(0) && world_.Now() < last + kMinEmptyRestartInterval)) {
       return;
     }
     last = world_.Now();
-    const bool leads = instances.at(id).primary && world_.Chance(kLeadsOn);
-    Tell(id + " starts anew" + (leads ? ", and leads on" : ""));
+    const bool leads = instances.at(id).primary && world_.Chance(kStaysPrimaryProbability);
+    LogEvent(id + " starts anew" + (leads ? ", and leads on" : ""));
     group.Crash(id, false);
-    world_.After(world_.Between(Duration(0), kShortest),
-                 [&group, id, leads] { group.RestartAnew(id, leads); });
+    world_.After(world_.RandomBetween(Duration(0), kMinFaultTime),
+                 [&group, id, leads] { group.RestartEmpty(id, leads); });
   }
 
   void Crash(DatabaseGroup& group, const std::string& id, bool silent) {
     if (id.empty() || !group.Instances().at(id).alive) {
       return;
     }
-    if (anew_) {
-      RestartAnew(group, id);
+    if (restart_empty_) {
+      RestartEmpty(group, id);
       return;
     }
-    Tell(std::string(silent ? "darken " : "crash ") + id);
+    LogEvent(std::string(silent ? "darken " : "crash ") + id);
     if (silent) {
       for (const auto& daemon : cluster_.Daemons()) {
         world_.CutBoth(daemon->Name(), id);
       }
     }
     group.Crash(id, silent);
-    world_.After(Length(), [this, &group, id] {
+    world_.After(RandomLength(), [this, &group, id] {
       for (const auto& daemon : cluster_.Daemons()) {
         world_.HealBoth(daemon->Name(), id);
       }
-      if (world_.Chance(kReturnsRenamed) && group.Instances().contains(id) &&
+      if (world_.Chance(kRenamedProbability) && group.Instances().contains(id) &&
           !group.Instances().at(id).alive) {
-        group.RestartAs(id, id + "r");
+        group.RestartRenamed(id, id + "r");
         cluster_.Store().Delete(model::Collection::kInstances, id);
       } else {
         group.Restart(id);
@@ -236,20 +241,20 @@
     });
   }
 
-  void DarkPrimary() {
-    DatabaseGroup& group = AnyGroup();
+  void UnreachablePrimary() {
+    DatabaseGroup& group = RandomGroup();
     Crash(group, group.Primary() == nullptr ? "" : group.Primary()->id, true);
   }
 
   void CrashReplica() {
-    DatabaseGroup& group = AnyGroup();
-    Crash(group, AnyReplica(group), world_.Chance(0.5));
+    DatabaseGroup& group = RandomGroup();
+    Crash(group, RandomReplica(group), world_.Chance(0.5));
   }
 
   /// The instances of a zone end at once, and come back one by one.
   void CrashZone() {
-    const std::string zone = ZoneName(world_.Below(cluster_.Shape().zones));
-    Tell("crash the instances of " + zone);
+    const std::string zone = ZoneName(world_.RandomBelow(cluster_.Shape().zones));
+    LogEvent("crash the instances of " + zone);
     for (auto& [service, group] : cluster_.Groups()) {
       std::vector<std::string> lost;
       for (const auto& [id, instance] : group->Instances()) {
@@ -264,13 +269,13 @@
   }
 
   void CutPrimary() {
-    DatabaseGroup& group = AnyGroup();
+    DatabaseGroup& group = RandomGroup();
     if (group.Primary() == nullptr) {
       return;
     }
     const std::string primary = group.Primary()->id;
     if (world_.Chance(0.5)) {
-      Tell("cut " + primary + " from its replicas");
+      LogEvent("cut " + primary + " from its replicas");
       for (const auto& [id, instance] : group.Instances()) {
         if (id != primary) {
           CutPair(primary, id, false);
@@ -278,7 +283,7 @@
       }
       return;
     }
-    Tell("cut " + primary + " from half of the daemons");
+    LogEvent("cut " + primary + " from half of the daemons");
     for (const auto& daemon : cluster_.Daemons()) {
       if (world_.Chance(0.5)) {
         CutPair(daemon->Name(), primary, world_.Chance(0.3));
@@ -287,13 +292,13 @@
   }
 
   void LagReplicas() {
-    DatabaseGroup& group = AnyGroup();
-    Tell("replicas of " + group.Service() + " lag");
+    DatabaseGroup& group = RandomGroup();
+    LogEvent("replicas of " + group.Service() + " lag");
     for (auto& [id, instance] : group.Instances()) {
       const std::string lagging = id;
       const Duration before = instance.lag;
-      instance.lag = world_.Between(std::chrono::milliseconds(300), std::chrono::seconds(5));
-      world_.After(Length(), [&group, lagging, before] {
+      instance.lag = world_.RandomBetween(std::chrono::milliseconds(300), std::chrono::seconds(5));
+      world_.After(RandomLength(), [&group, lagging, before] {
         const auto found = group.Instances().find(lagging);
         if (found != group.Instances().end()) {
           found->second.lag = before;
@@ -302,98 +307,98 @@
     }
   }
 
-  void DeafReplica() {
-    DatabaseGroup& group = AnyGroup();
-    const std::string id = AnyReplica(group);
+  void BlockReplication() {
+    DatabaseGroup& group = RandomGroup();
+    const std::string id = RandomReplica(group);
     if (id.empty()) {
       return;
     }
-    Tell(id + " receives nothing");
-    group.Instances().at(id).deaf = true;
-    world_.After(Length(), [&group, id] {
+    LogEvent(id + " receives nothing");
+    group.Instances().at(id).replication_blocked = true;
+    world_.After(RandomLength(), [&group, id] {
       const auto found = group.Instances().find(id);
       if (found != group.Instances().end()) {
-        found->second.deaf = false;
+        found->second.replication_blocked = false;
       }
     });
   }
 
-  void StoreTrouble() {
-    world_.NoteTrouble(kStore);
+  void DisturbStore() {
+    world_.RecordFault(kStore);
     StoreFaults& faults = cluster_.Store().faults;
-    switch (world_.Below(5)) {
+    switch (world_.RandomBelow(5)) {
       case 0:
-        Tell("the store refuses");
-        faults.down = true;
+        LogEvent("the store refuses");
+        faults.refusing = true;
         break;
       case 1:
-        Tell("the store is silent");
-        faults.silent = true;
+        LogEvent("the store is silent");
+        faults.unresponsive = true;
         break;
       case 2:
-        Tell("the store is slow");
-        faults.extra = std::chrono::milliseconds(300);
+        LogEvent("the store is slow");
+        faults.extra_delay = std::chrono::milliseconds(300);
         break;
       case 3:
-        Tell("the store loses answers");
-        faults.lost = 0.5;
-        faults.late = world_.Chance(0.5);
+        LogEvent("the store loses answers");
+        faults.lost_answer_share = 0.5;
+        faults.late_writes = world_.Chance(0.5);
         break;
       default:
-        Tell("the store forgets its history");
+        LogEvent("the store forgets its history");
         cluster_.ChangeConfiguration();
         cluster_.Store().Compact();
         return;
     }
-    world_.After(Length(), [this] {
-      world_.NoteTrouble(kStore);
+    world_.After(RandomLength(), [this] {
+      world_.RecordFault(kStore);
       cluster_.Store().faults = StoreFaults{};
     });
   }
 
   void ReplacePrimary() {
-    DatabaseGroup& group = AnyGroup();
+    DatabaseGroup& group = RandomGroup();
     SimulatedInstance* primary = group.Primary();
     if (primary == nullptr || primary->draining) {
       return;
     }
     const std::string leaving = primary->id;
     const std::string coming = group.Service() + "-n" + std::to_string(++replacements_);
-    Tell("replace " + leaving + " by " + coming);
+    LogEvent("replace " + leaving + " by " + coming);
     group.AddReplica(coming);
-    world_.After(kReplacementStart, [this, &group, leaving] {
+    world_.After(kReplacementStartTime, [this, &group, leaving] {
       const auto found = group.Instances().find(leaving);
       if (found != group.Instances().end()) {
         found->second.draining = true;
-        cluster_.Announce(group, found->second);
+        cluster_.WriteInstanceEntry(group, found->second);
       }
     });
-    world_.After(kReplacementStart + kDrainTime, [this, &group, leaving] {
+    world_.After(kReplacementStartTime + kDrainTime, [this, &group, leaving] {
       group.RemoveInstance(leaving);
       cluster_.Store().Delete(model::Collection::kInstances, leaving);
     });
   }
 
   void LoseAnswers() {
-    DatabaseGroup& group = AnyGroup();
-    Tell("answers of " + group.Service() + " are lost");
-    group.SetLostAnswers(0.1);
-    world_.After(Length(), [&group] { group.SetLostAnswers(0); });
+    DatabaseGroup& group = RandomGroup();
+    LogEvent("answers of " + group.Service() + " are lost");
+    group.SetLostAnswerShare(0.1);
+    world_.After(RandomLength(), [&group] { group.SetLostAnswerShare(0); });
   }
 
   Cluster& cluster_;
   World& world_;
-  std::vector<std::string>& told_;
+  std::vector<std::string>& event_log_;
   std::uint64_t replacements_ = 0;
-  bool anew_ = false;
-  std::map<std::string, Instant> last_anew_;  // by service
+  bool restart_empty_ = false;
+  std::map<std::string, Instant> last_empty_restart_;  // by service
 };
 
 /// Stops all daemons in rolls, one to three at a time, each batch close after the one before.
-class Rolls {
+class RollingStops {
  public:
-  Rolls(Cluster& cluster, std::vector<std::string>& told)
-      : cluster_(cluster), world_(cluster.Surroundings()), told_(told) {}
+  RollingStops(Cluster& cluster, std::vector<std::string>& event_log)
+      : cluster_(cluster), world_(cluster.SimWorld()), event_log_(event_log) {}
 
   /// Begins one roll after the other, up to a time.
   void Begin(Instant until) {
@@ -404,38 +409,39 @@
   std::size_t Stops() const { return stops_; }
 
  private:
-  static constexpr std::size_t kMostAtATime = 3;
-  static constexpr Duration kShortestPause{300'000};
-  static constexpr Duration kLongestPause{4'000'000};
+  static constexpr std::size_t kMaxAtATime = 3;
+  static constexpr Duration kMinStopInterval{300'000};
+  static constexpr Duration kMaxStopInterval{4'000'000};
 
   void StopNext() {
     if (world_.Now() >= until_) {
       return;
     }
-    if (left_.empty()) {
+    if (remaining_.empty()) {
       for (const auto& daemon : cluster_.Daemons()) {
-        left_.push_back(daemon.get());
+        remaining_.push_back(daemon.get());
       }
     }
     std::string names;
-    for (std::size_t more = 1 + world_.Below(kMostAtATime); more > 0 && !left_.empty(); --more) {
-      const std::size_t drawn = world_.Below(left_.size());
-      DaemonHost& daemon = *left_[drawn];
-      left_.erase(left_.begin() + static_cast<std::ptrdiff_t>(drawn));
-      if (daemon.Runs()) {
+    for (std::size_t more = 1 + world_.RandomBelow(kMaxAtATime); more > 0 && !remaining_.empty();
+         --more) {
+      const std::size_t drawn = world_.RandomBelow(remaining_.size());
+      DaemonHost& daemon = *remaining_[drawn];
+      remaining_.erase(remaining_.begin() + static_cast<std::ptrdiff_t>(drawn));
+      if (daemon.IsOperating()) {
         ++stops_;
         names += " " + daemon.Name();
         daemon.Stop();
       }
     }
-    told_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: stop" + names);
-    world_.After(world_.Between(kShortestPause, kLongestPause), [this] { StopNext(); });
+    event_log_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: stop" + names);
+    world_.After(world_.RandomBetween(kMinStopInterval, kMaxStopInterval), [this] { StopNext(); });
   }
 
   Cluster& cluster_;
   World& world_;
-  std::vector<std::string>& told_;
-  std::vector<DaemonHost*> left_;  // of the present roll
+  std::vector<std::string>& event_log_;
+  std::vector<DaemonHost*> remaining_;  // of the present roll
   Instant until_{0};
   std::size_t stops_ = 0;
 };
@@ -443,52 +449,53 @@
 /// The store goes away for a moment and returns from a copy, mostly at a bad moment.
 class StoreRestores {
  public:
-  StoreRestores(Cluster& cluster, FaultInjector& injector, std::vector<std::string>& told)
-      : cluster_(cluster), world_(cluster.Surroundings()), injector_(injector), told_(told) {}
+  StoreRestores(Cluster& cluster, FaultInjector& injector, std::vector<std::string>& event_log)
+      : cluster_(cluster), world_(cluster.SimWorld()), injector_(injector), event_log_(event_log) {}
 
   void Begin() {
-    if (world_.Chance(kChangeBefore)) {
+    if (world_.Chance(kChangeProbability)) {
       cluster_.ChangeConfiguration();
     }
-    if (world_.Chance(kLossBefore)) {
+    if (world_.Chance(kCrashProbability)) {
       injector_.CrashPrimary();
     }
-    if (world_.Chance(kKillBefore)) {
+    if (world_.Chance(kKillProbability)) {
       injector_.KillMany();
     }
-    world_.After(world_.Between(Duration(0), kLongestLead), [this] { GoAway(); });
+    world_.After(world_.RandomBetween(Duration(0), kMaxLeadTime), [this] { BeginOutage(); });
   }
 
  private:
-  static constexpr double kChangeBefore = 0.6;
-  static constexpr double kLossBefore = 0.5;
-  static constexpr double kKillBefore = 0.1;
-  static constexpr double kCompacts = 0.2;
-  static constexpr Duration kLongestLead{1'500'000};
-  static constexpr Duration kShortestAway{50'000};
-  static constexpr Duration kLongestAway{3'000'000};
-  static constexpr Duration kOldestCopy{5'000'000};
+  static constexpr double kChangeProbability = 0.6;
+  static constexpr double kCrashProbability = 0.5;
+  static constexpr double kKillProbability = 0.1;
+  static constexpr double kCompactProbability = 0.2;
+  static constexpr Duration kMaxLeadTime{1'500'000};
+  static constexpr Duration kMinOutage{50'000};
+  static constexpr Duration kMaxOutage{3'000'000};
+  static constexpr Duration kMaxCopyAge{5'000'000};
   static constexpr std::size_t kChangesAfter = 3;
   static constexpr Duration kChangesWithin{9'000'000};
 
-  void GoAway() {
-    const Duration age = world_.Between(Duration(0), kOldestCopy);
-    told_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: the store goes, and " +
-                    "returns from a copy " + std::to_string(age.count() / 1000) + " ms old");
-    world_.NoteTrouble(kStore);
-    (world_.Chance(0.5) ? cluster_.Store().faults.down : cluster_.Store().faults.silent) = true;
-    world_.After(world_.Between(kShortestAway, kLongestAway), [this, age] { Return(age); });
+  void BeginOutage() {
+    const Duration age = world_.RandomBetween(Duration(0), kMaxCopyAge);
+    event_log_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: the store goes, and " +
+                         "returns from a copy " + std::to_string(age.count() / 1000) + " ms old");
+    world_.RecordFault(kStore);
+    (world_.Chance(0.5) ? cluster_.Store().faults.refusing : cluster_.Store().faults.unresponsive) =
+        true;
+    world_.After(world_.RandomBetween(kMinOutage, kMaxOutage), [this, age] { EndOutage(age); });
   }
 
-  void Return(Duration age) {
-    world_.NoteTrouble(kStore);
+  void EndOutage(Duration age) {
+    world_.RecordFault(kStore);
     cluster_.Store().faults = StoreFaults{};
     cluster_.Store().Restore(age);
-    if (world_.Chance(kCompacts)) {
+    if (world_.Chance(kCompactProbability)) {
       cluster_.Store().Compact();
     }
     for (std::size_t change = 0; change < kChangesAfter; ++change) {
-      world_.After(world_.Between(Duration(0), kChangesWithin),
+      world_.After(world_.RandomBetween(Duration(0), kChangesWithin),
                    [this] { cluster_.ChangeConfiguration(); });
     }
   }
@@ -496,29 +503,29 @@
   Cluster& cluster_;
   World& world_;
   FaultInjector& injector_;
-  std::vector<std::string>& told_;
+  std::vector<std::string>& event_log_;
 };
 
 /// Takes keys away and gives them back, to the same tenant or another.
 class KeyChanges {
  public:
-  explicit KeyChanges(Cluster& cluster) : cluster_(cluster), world_(cluster.Surroundings()) {}
+  explicit KeyChanges(Cluster& cluster) : cluster_(cluster), world_(cluster.SimWorld()) {}
 
   void Begin() {
     const std::vector<std::string> keys = cluster_.Keys().Keys();
-    const std::string& key = keys[world_.Below(keys.size())];
-    const std::string next = TenantName(world_.Below(cluster_.Shape().tenants));
-    if (world_.Chance(kPassedOn)) {
+    const std::string& key = keys[world_.RandomBelow(keys.size())];
+    const std::string next = TenantName(world_.RandomBelow(cluster_.Shape().tenants));
+    if (world_.Chance(kReassignProbability)) {
       cluster_.ChangeKey(key, next);
       return;
     }
     cluster_.ChangeKey(key, "");
-    world_.After(kKeyAway, [this, key, next] { cluster_.ChangeKey(key, next); });
+    world_.After(kKeyRemovedTime, [this, key, next] { cluster_.ChangeKey(key, next); });
   }
 
  private:
-  static constexpr double kPassedOn = 0.3;
-  static constexpr Duration kKeyAway{9'000'000};
+  static constexpr double kReassignProbability = 0.3;
+  static constexpr Duration kKeyRemovedTime{9'000'000};
 
   Cluster& cluster_;
   World& world_;
@@ -527,14 +534,15 @@
 /// Evacuates zones: mostly one, sometimes two or all.
 class Evacuations {
  public:
-  Evacuations(Cluster& cluster, std::vector<std::string>& told)
-      : cluster_(cluster), world_(cluster.Surroundings()), told_(told) {}
+  Evacuations(Cluster& cluster, std::vector<std::string>& event_log)
+      : cluster_(cluster), world_(cluster.SimWorld()), event_log_(event_log) {}
 
   void Begin() {
     const std::size_t zones = cluster_.Shape().zones;
-    const std::size_t first = world_.Below(zones);
-    const std::size_t most = world_.Chance(kAll) ? zones : 1 + world_.Below(2);
-    const Duration length = world_.Between(kShortestEvacuation, kLongestEvacuation);
+    const std::size_t first = world_.RandomBelow(zones);
+    const std::size_t most =
+        world_.Chance(kAllZonesProbability) ? zones : 1 + world_.RandomBelow(2);
+    const Duration length = world_.RandomBetween(kMinEvacuationTime, kMaxEvacuationTime);
     for (std::size_t next = 0; next < std::min(most, zones); ++next) {
       Begin(ZoneName((first + next) % zones), length);
     }
@@ -543,53 +551,53 @@
   std::size_t Count() const { return count_; }
 
  private:
-  static constexpr double kAll = 0.1;
-  static constexpr Duration kShortestEvacuation{1'500'000};
-  static constexpr Duration kLongestEvacuation{12'000'000};
+  static constexpr double kAllZonesProbability = 0.1;
+  static constexpr Duration kMinEvacuationTime{1'500'000};
+  static constexpr Duration kMaxEvacuationTime{12'000'000};
 
   void Begin(const std::string& zone, Duration length) {
-    if (cluster_.Evacuated(zone)) {
+    if (cluster_.IsEvacuated(zone)) {
       return;
     }
     ++count_;
-    Tell("evacuate " + zone);
+    LogEvent("evacuate " + zone);
     cluster_.Evacuate(zone);
     world_.After(length, [this, zone] {
-      Tell("take back " + zone);
+      LogEvent("take back " + zone);
       cluster_.EndEvacuation(zone);
     });
   }
 
-  void Tell(const std::string& what) {
-    told_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: " + what);
+  void LogEvent(const std::string& what) {
+    event_log_.push_back(std::to_string(world_.Now().count() / 1000) + " ms: " + what);
   }
 
   Cluster& cluster_;
   World& world_;
-  std::vector<std::string>& told_;
+  std::vector<std::string>& event_log_;
   std::size_t count_ = 0;
 };
 
 /// Limits routes and tenants to regions by turns.
 class RegionChanges {
  public:
-  explicit RegionChanges(Cluster& cluster) : cluster_(cluster), world_(cluster.Surroundings()) {}
+  explicit RegionChanges(Cluster& cluster) : cluster_(cluster), world_(cluster.SimWorld()) {}
 
   /// Draws limits for some route or tenant.
   void Change() {
     const std::size_t tenants = cluster_.Shape().tenants;
-    if (tenants > 0 && world_.Chance(kOfTenant)) {
-      cluster_.LimitTenant(TenantName(world_.Below(tenants)), Draw());
+    if (tenants > 0 && world_.Chance(kTenantProbability)) {
+      cluster_.LimitTenant(TenantName(world_.RandomBelow(tenants)), DrawRegions());
       return;
     }
     const model::Configuration configuration = cluster_.CurrentConfiguration();
     auto route = configuration.routes.begin();
-    std::advance(route, world_.Below(configuration.routes.size()));
-    cluster_.LimitRoute(route->first, Draw());
+    std::advance(route, world_.RandomBelow(configuration.routes.size()));
+    cluster_.LimitRoute(route->first, DrawRegions());
   }
 
   /// Limits each service's routes to a region where it has an instance, and no tenant.
-  void Settle() {
+  void SetFinalLimits() {
     for (std::size_t tenant = 0; tenant < cluster_.Shape().tenants; ++tenant) {
       cluster_.LimitTenant(TenantName(tenant), {});
     }
@@ -600,9 +608,9 @@
   }
 
  private:
-  static constexpr double kOfTenant = 0.4;
+  static constexpr double kTenantProbability = 0.4;
 
-  std::vector<std::string> Draw() {
+  std::vector<std::string> DrawRegions() {
     std::vector<std::string> regions;
     for (std::size_t region = 0; region < kRegions; ++region) {
       if (world_.Chance(0.5)) {
@@ -639,7 +647,7 @@
 void AddWarmUp(const ScenarioOptions& options, ClusterShape& shape) {
   if (options.warm_up) {
     shape.group.warm_up = {std::chrono::seconds(6), 8};
-    shape.group.tolerated = {1.5, 5};
+    shape.group.tolerance = {1.5, 5};
   }
 }
 
@@ -648,28 +656,28 @@
   AddWarmUp(options, shape);
   shape.mechanisms = options.mechanisms;
   AddTenants(options, shape);
-  shape.balanced = options.planned;
+  shape.use_load_balancer = options.planned_stops;
   shape.evacuation_limit = options.evacuations ? kEvacuationLimit : Duration(0);
   shape.check_configuration = options.store_restores;
   if (options.large) {
     World draw(options.seed * 6007);
-    shape.daemons = 18 + draw.Below(9);
-    shape.zones = 2 + draw.Below(3);
-    shape.group.most_connections = 24 + draw.Below(12);
+    shape.daemons = 18 + draw.RandomBelow(9);
+    shape.zones = 2 + draw.RandomBelow(3);
+    shape.group.max_connections = 24 + draw.RandomBelow(12);
     return shape;
   }
   if (!options.draw_shape) {
     return shape;
   }
   World draw(options.seed * 7919);
-  shape.daemons = 3 + draw.Below(10);
-  shape.zones = 1 + draw.Below(5);
-  shape.groups = 1 + draw.Below(3);
-  shape.group.instances = 2 + draw.Below(4);
-  shape.group.sync_replicas =
-      static_cast<std::uint32_t>(draw.Below(std::min<std::uint64_t>(3, shape.group.instances)));
-  shape.group.slots = 2 + draw.Below(3);
-  shape.group.most_connections = 30 + draw.Below(40);
+  shape.daemons = 3 + draw.RandomBelow(10);
+  shape.zones = 1 + draw.RandomBelow(5);
+  shape.groups = 1 + draw.RandomBelow(3);
+  shape.group.instances = 2 + draw.RandomBelow(4);
+  shape.group.sync_replicas = static_cast<std::uint32_t>(
+      draw.RandomBelow(std::min<std::uint64_t>(3, shape.group.instances)));
+  shape.group.slots = 2 + draw.RandomBelow(3);
+  shape.group.max_connections = 30 + draw.RandomBelow(40);
   return shape;
 }
 
@@ -687,7 +695,7 @@
   const auto last =
       static_cast<std::size_t>(std::chrono::duration_cast<std::chrono::seconds>(end).count());
   const auto span = static_cast<std::size_t>(
-      std::chrono::duration_cast<std::chrono::seconds>(kLastSeconds).count());
+      std::chrono::duration_cast<std::chrono::seconds>(kFinalPeriod).count());
   std::size_t begun = 0;
   std::size_t succeeded = 0;
   for (std::size_t second = last - span; second < last && second < callers.Seconds().size();
@@ -713,7 +721,7 @@
   ClusterShape shape = ShapeOf(options);
   shape.record_load = options.record_load;
   Cluster cluster(options.seed, shape);
-  World& world = cluster.Surroundings();
+  World& world = cluster.SimWorld();
   if (options.print_log) {
     cluster.on_log = [&world](const std::string& daemon, const proxy::LogEvent& event) {
       PrintLine(world, daemon, event);
@@ -721,58 +729,66 @@
   }
   world.RunUntil(std::chrono::seconds(2));
   Callers callers(cluster, options.sessions);
-  FaultInjector injector(cluster, result.faults, options.anew);
-  const std::size_t faults = options.planned ? 0 : options.faults;
+  FaultInjector injector(cluster, result.faults, options.restart_empty);
+  const std::size_t faults = options.planned_stops ? 0 : options.faults;
   for (std::size_t fault = 0; fault < faults; ++fault) {
-    const Duration at = options.calm_before + world.Between(Duration(0), options.troubled);
+    const Duration at =
+        options.time_before_faults + world.RandomBetween(Duration(0), options.fault_time);
     world.After(at, [&injector] { injector.Begin(); });
   }
-  Rolls rolls(cluster, result.faults);
-  if (options.planned) {
-    const Instant until = world.Now() + options.calm_before + options.troubled;
-    world.After(options.calm_before, [&rolls, until] { rolls.Begin(until); });
-    for (std::size_t change = 0; change < kConfigurations; ++change) {
-      const Duration at = options.calm_before + world.Between(Duration(0), options.troubled);
+  RollingStops rolling_stops(cluster, result.faults);
+  if (options.planned_stops) {
+    const Instant until = world.Now() + options.time_before_faults + options.fault_time;
+    world.After(options.time_before_faults,
+                [&rolling_stops, until] { rolling_stops.Begin(until); });
+    for (std::size_t change = 0; change < kConfigurationChanges; ++change) {
+      const Duration at =
+          options.time_before_faults + world.RandomBetween(Duration(0), options.fault_time);
       world.After(at, [&cluster] { cluster.ChangeConfiguration(); });
     }
   }
   StoreRestores restores(cluster, injector, result.faults);
   for (std::size_t restore = 0; options.store_restores && restore < kRestores; ++restore) {
-    const Duration at = options.calm_before + world.Between(Duration(0), options.troubled);
+    const Duration at =
+        options.time_before_faults + world.RandomBetween(Duration(0), options.fault_time);
     world.After(at, [&restores] { restores.Begin(); });
   }
   KeyChanges changes(cluster);
   for (std::size_t change = 0; options.tenants && change < kKeyChanges; ++change) {
-    const Duration at = options.calm_before + world.Between(Duration(0), options.troubled);
+    const Duration at =
+        options.time_before_faults + world.RandomBetween(Duration(0), options.fault_time);
     world.After(at, [&changes] { changes.Begin(); });
   }
   Evacuations evacuations(cluster, result.faults);
   for (std::size_t begun = 0; options.evacuations && begun < kEvacuations; ++begun) {
-    const Duration at = options.calm_before + world.Between(Duration(0), options.troubled);
+    const Duration at =
+        options.time_before_faults + world.RandomBetween(Duration(0), options.fault_time);
     world.After(at, [&evacuations] { evacuations.Begin(); });
   }
   RegionChanges regions(cluster);
   if (options.regions) {
     for (std::size_t change = 0; change < kRegionChanges; ++change) {
-      const Duration at = world.Between(Duration(0), options.calm_before + options.troubled);
+      const Duration at =
+          world.RandomBetween(Duration(0), options.time_before_faults + options.fault_time);
       world.After(at, [&regions] { regions.Change(); });
     }
-    const Duration cut = options.calm_before + world.Between(Duration(0), options.troubled);
+    const Duration cut =
+        options.time_before_faults + world.RandomBetween(Duration(0), options.fault_time);
     world.After(cut, [&injector] { injector.CutRegions(); });
-    world.After(options.calm_before + options.troubled + kLongest,
-                [&regions] { regions.Settle(); });
+    world.After(options.time_before_faults + options.fault_time + kMaxFaultTime,
+                [&regions] { regions.SetFinalLimits(); });
   }
-  const Instant end =
-      world.Now() + options.calm_before + options.troubled + kLongest + options.calm_after;
+  const Instant end = world.Now() + options.time_before_faults + options.fault_time +
+                      kMaxFaultTime + options.recovery_time;
   callers.StopAt(end);
-  world.RunUntil(end + kLastSeconds);
+  world.RunUntil(end + kFinalPeriod);
   result.served_at_end = ServedAtEnd(callers, end);
-  if (result.served_at_end < kServedAtEnd) {
+  if (result.served_at_end < kMinServedAtEnd) {
     world.Report("RECOVER", "served at the end: " + std::to_string(result.served_at_end));
   }
   for (const auto& daemon : cluster.Daemons()) {
     if (daemon->Alive()) {
-      result.relayed += daemon->Decisions()->Relay().Sessions().counters().started;
+      result.relayed += daemon->Proxy()->Relay().Sessions().counters().started;
     }
   }
   if (options.record_load) {
@@ -784,9 +800,9 @@
   }
   result.violations = world.Violations();
   result.evacuations = evacuations.Count();
-  result.stops = rolls.Stops();
-  result.attempts = cluster.Record().Attempts();
-  result.succeeded = cluster.Record().Succeeded();
+  result.stops = rolling_stops.Stops();
+  result.attempts = cluster.CallerHistory().Attempts();
+  result.succeeded = cluster.CallerHistory().Succeeded();
   for (const auto& [service, group] : cluster.Groups()) {
     const SimulatedInstance* primary = group->Primary();
     result.promotions += primary == nullptr ? 0 : primary->term - 1;
--- a/src/proxysim/scenario.h
+++ b/src/proxysim/scenario.h
@@ -16,9 +16,9 @@
 /// What a day is made of.
 struct ScenarioOptions {
   std::uint64_t seed = 1;
-  common::Duration calm_before{8'000'000};  // until the faults begin
-  common::Duration troubled{24'000'000};
-  common::Duration calm_after{14'000'000};  // everything must serve again by its end
+  common::Duration time_before_faults{8'000'000};  // until the faults begin
+  common::Duration fault_time{24'000'000};
+  common::Duration recovery_time{14'000'000};  // everything must serve again by its end
   std::size_t faults = 6;
   std::size_t sessions = 40;
   bool draw_shape = false;      // draws numbers of daemons, zones, instances, replicas
@@ -27,8 +27,8 @@
   bool evacuations = false;     // operators evacuate zones, and take that back
   bool large = false;           // many daemons before few connections: sessions are relayed
   bool warm_up = false;         // instances that start are cold for a while
-  bool planned = false;         // no faults: daemons are stopped in rolls, beside configurations
-  bool anew = false;            // instances that end start again under their id, with nothing
+  bool planned_stops = false;   // no faults: daemons are stopped in rolls, beside configurations
+  bool restart_empty = false;   // instances that end start again under their id, with nothing
   bool store_restores = false;  // the store comes back from older copies
   bool regions = false;         // two regions; routes and tenants are limited to them by turns
   proxy::Mechanisms mechanisms;
--- a/src/proxysim/store.cc
+++ b/src/proxysim/store.cc
@@ -13,13 +13,13 @@
 constexpr const char* kStore = "store";
 constexpr const char* kConfiguration = "main";
 constexpr const char* kLeaderPrefix = "leader-";
-constexpr common::Duration kService{4'000};
+constexpr common::Duration kServiceTime{4'000};
 constexpr common::Duration kWriteTimeout{900'000};
-constexpr common::Duration kLateLeast{1'000'000};
-constexpr common::Duration kLateMost{6'000'000};
+constexpr common::Duration kMinLateWriteDelay{1'000'000};
+constexpr common::Duration kMaxLateWriteDelay{6'000'000};
 /// Of the returns from a copy: waiting watches are never answered; they go on to wait.
-constexpr double kWatchesLost = 0.4;
-constexpr double kWatchesKept = 0.3;
+constexpr double kWatchesLostProbability = 0.4;
+constexpr double kWatchesKeptProbability = 0.3;
 
 std::string LeaderName(std::uint64_t era) { return kLeaderPrefix + std::to_string(era); }
 
@@ -40,7 +40,7 @@
   return object == objects->second.end() ? std::nullopt : std::optional(object->second.payload);
 }
 
-void SimulatedStore::NoteReplaced(const Key& key) {
+void SimulatedStore::RecordReplaced(const Key& key) {
   Replaced replaced{world_.Now(), key, std::nullopt, revision_};
   const auto& objects = objects_[key.first];
   const auto found = objects.find(key.second);
@@ -48,10 +48,10 @@
     replaced.before = found->second;
   }
   replaced_.push_back(std::move(replaced));
-  while (replaced_.front().at < world_.Now() - kOldestCopy) {
+  while (replaced_.front().at < world_.Now() - kMaxCopyAge) {
     replaced_.pop_front();
   }
-  to_write_again_.erase(key);
+  pending_rewrites_.erase(key);
 }
 
 std::map<SimulatedStore::Key, std::optional<model::CatalogPayload>> SimulatedStore::UndoSince(
@@ -74,9 +74,9 @@
   return undone;
 }
 
-void SimulatedStore::WriteAgain(const Key& key) {
-  const auto found = to_write_again_.find(key);
-  if (found == to_write_again_.end()) {
+void SimulatedStore::Rewrite(const Key& key) {
+  const auto found = pending_rewrites_.find(key);
+  if (found == pending_rewrites_.end()) {
     return;
   }
   const std::optional<model::CatalogPayload> payload = found->second;
@@ -85,14 +85,14 @@
   } else {
     Delete(key.first, key.second);
   }
-  to_write_again_.erase(key);
+  pending_rewrites_.erase(key);
 }
 
 void SimulatedStore::EndWatches() {
-  if (world_.Chance(kWatchesKept)) {
+  if (world_.Chance(kWatchesKeptProbability)) {
     return;
   }
-  const bool lost = world_.Chance(kWatchesLost);
+  const bool lost = world_.Chance(kWatchesLostProbability);
   const auto watches = std::exchange(watches_, {});
   for (const auto& watch : watches) {
     if (!std::exchange(watch->done, true) && !lost) {
@@ -103,21 +103,21 @@
 
 void SimulatedStore::Restore(common::Duration age) {
   EndWatches();
-  const auto undone = UndoSince(world_.Now() - std::min(age, kOldestCopy));
+  const auto undone = UndoSince(world_.Now() - std::min(age, kMaxCopyAge));
   ++era_;
-  oldest_kept_ = std::min(oldest_kept_, revision_);
+  oldest_kept_revision_ = std::min(oldest_kept_revision_, revision_);
   std::erase_if(events_, [this](const Event& event) { return event.revision > revision_; });
   for (const auto& [key, payload] : undone) {
     // What was still to be written after an earlier return is the newest wish all the same.
-    to_write_again_.try_emplace(key, payload);
-    world_.After(world_.Between(common::Duration(0), kWrittenAgain),
-                 [this, key = key] { WriteAgain(key); });
+    pending_rewrites_.try_emplace(key, payload);
+    world_.After(world_.RandomBetween(common::Duration(0), kRewriteTime),
+                 [this, key = key] { Rewrite(key); });
   }
 }
 
 void SimulatedStore::Put(Collection collection, const std::string& name,
                          model::CatalogPayload payload) {
-  NoteReplaced({collection, name});
+  RecordReplaced({collection, name});
   Object& object = objects_[collection][name];
   object.revision = ++revision_;
   object.payload = std::move(payload);
@@ -126,23 +126,23 @@
 }
 
 void SimulatedStore::Delete(Collection collection, const std::string& name) {
-  NoteReplaced({collection, name});
+  RecordReplaced({collection, name});
   if (objects_[collection].erase(name) > 0) {
     events_.push_back({++revision_, collection, {name, revision_, true, std::monostate()}});
     WakeWatches(collection);
   }
 }
 
-void SimulatedStore::Exchange(const std::string& daemon, std::function<void()> work) {
-  const bool arrives = world_.Reaches(daemon, kStore) && !faults.silent;
+void SimulatedStore::SendToStore(const std::string& daemon, std::function<void()> work) {
+  const bool arrives = world_.Reaches(daemon, kStore) && !faults.unresponsive;
   if (arrives) {
-    world_.After(world_.Delay() + kService + faults.extra, std::move(work));
+    world_.After(world_.NetworkDelay() + kServiceTime + faults.extra_delay, std::move(work));
   }
 }
 
 void SimulatedStore::Reply(const std::string& daemon, std::function<void()> answer) {
-  if (world_.Reaches(kStore, daemon) && !faults.silent) {
-    world_.After(world_.Delay(), std::move(answer));
+  if (world_.Reaches(kStore, daemon) && !faults.unresponsive) {
+    world_.After(world_.NetworkDelay(), std::move(answer));
   }
 }
 
@@ -163,7 +163,7 @@
   metadata::ReadResult result;
   result.revision = {revision_, era_};
   const std::uint64_t after = call.after_revision->number;
-  if (after < oldest_kept_ || after > revision_) {
+  if (after < oldest_kept_revision_ || after > revision_) {
     result.status = ReadStatus::kHistoryGone;
     return result;
   }
@@ -192,8 +192,8 @@
     }
   };
   world_.After(call.timeout, [finish] { finish({}); });
-  Exchange(daemon, [this, daemon, call, finish] {
-    if (faults.down) {
+  SendToStore(daemon, [this, daemon, call, finish] {
+    if (faults.refusing) {
       Reply(daemon, [finish] { finish({ReadStatus::kRefused, 0, {}}); });
       return;
     }
@@ -268,14 +268,15 @@
     }
   };
   world_.After(kWriteTimeout, [finish] { finish({}); });
-  Exchange(daemon, [this, daemon, write, finish] {
-    if (faults.down) {
+  SendToStore(daemon, [this, daemon, write, finish] {
+    if (faults.refusing) {
       Reply(daemon, [finish] { finish({failover::WriteStatus::kRefused, 0, {}}); });
       return;
     }
-    if (world_.Chance(faults.lost)) {
-      if (faults.late) {
-        world_.After(world_.Between(kLateLeast, kLateMost), [this, write] { TryWrite(write); });
+    if (world_.Chance(faults.lost_answer_share)) {
+      if (faults.late_writes) {
+        world_.After(world_.RandomBetween(kMinLateWriteDelay, kMaxLateWriteDelay),
+                     [this, write] { TryWrite(write); });
       } else {
         TryWrite(write);
       }
@@ -295,9 +296,9 @@
     }
   };
   world_.After(kWriteTimeout, [finish] { finish({}); });
-  Exchange(daemon, [this, daemon, era, finish] {
+  SendToStore(daemon, [this, daemon, era, finish] {
     failover::WriteResult result;
-    if (!faults.down) {
+    if (!faults.refusing) {
       const auto& records = objects_[Collection::kLeadership];
       const auto found = records.find(LeaderName(era));
       result.status = failover::WriteStatus::kWritten;
@@ -321,10 +322,10 @@
     }
   };
   world_.After(kWriteTimeout, [finish] { finish(std::nullopt, 0); });
-  Exchange(daemon, [this, daemon, finish] {
+  SendToStore(daemon, [this, daemon, finish] {
     const auto& objects = objects_[Collection::kConfiguration];
     const auto found = objects.find(kConfiguration);
-    if (faults.down || found == objects.end()) {
+    if (faults.refusing || found == objects.end()) {
       Reply(daemon, [finish] { finish(std::nullopt, 0); });
       return;
     }
@@ -343,17 +344,17 @@
     }
   };
   world_.After(kWriteTimeout, [finish] { finish(false); });
-  Exchange(daemon, [this, daemon, entry, finish] {
-    if (!faults.down) {
+  SendToStore(daemon, [this, daemon, entry, finish] {
+    if (!faults.refusing) {
       Put(Collection::kDaemons, entry.name, entry);
     }
-    const bool written = !faults.down;
+    const bool written = !faults.refusing;
     Reply(daemon, [finish, written] { finish(written); });
   });
 }
 
 void SimulatedStore::Compact() {
-  oldest_kept_ = revision_;
+  oldest_kept_revision_ = revision_;
   events_.clear();
   const auto watches = std::exchange(watches_, {});
   for (const auto& watch : watches) {
--- a/src/proxysim/store.h
+++ b/src/proxysim/store.h
@@ -22,13 +22,15 @@
 
 /// How the store behaves for now.
 struct StoreFaults {
-  bool down = false;          // refuses every call
-  bool silent = false;        // answers nothing, does nothing
-  double lost = 0;            // share of the writes that are done and not answered
-  bool late = false;          // lost writes are done seconds later
-  common::Duration extra{0};  // time added to every answer
-
-  bool None() const { return !down && !silent && lost == 0 && extra.count() == 0; }
+  bool refusing = false;            // refuses every call
+  bool unresponsive = false;        // answers nothing, does nothing
+  double lost_answer_share = 0;     // share of the writes that are done and not answered
+  bool late_writes = false;         // lost writes are done seconds later
+  common::Duration extra_delay{0};  // time added to every answer
+
+  bool None() const {
+    return !refusing && !unresponsive && lost_answer_share == 0 && extra_delay.count() == 0;
+  }
 };
 
 class SimulatedStore {
@@ -71,8 +73,8 @@
   /// Rises with each return from a copy.
   std::uint64_t Era() const { return era_; }
 
-  static constexpr common::Duration kOldestCopy{8'000'000};
-  static constexpr common::Duration kWrittenAgain{2'000'000};
+  static constexpr common::Duration kMaxCopyAge{8'000'000};
+  static constexpr common::Duration kRewriteTime{2'000'000};
 
   StoreFaults faults;
 
@@ -105,15 +107,15 @@
     std::uint64_t revision = 0;  // of the store before
   };
 
-  void NoteReplaced(const Key& key);
+  void RecordReplaced(const Key& key);
   /// Undoes the newest changes. @return what operators' and instances' objects were; nothing: gone.
   std::map<Key, std::optional<model::CatalogPayload>> UndoSince(common::Instant since);
-  void WriteAgain(const Key& key);
+  void Rewrite(const Key& key);
   std::optional<model::CatalogPayload> Payload(const Key& key) const;
   void EndWatches();
 
   /// Carries a question to the store and an answer back, as far as the ways are open.
-  void Exchange(const std::string& daemon, std::function<void()> work);
+  void SendToStore(const std::string& daemon, std::function<void()> work);
   void Reply(const std::string& daemon, std::function<void()> answer);
   void CountConfigurations(const metadata::ReadCall& call, const metadata::ReadResult& result);
   metadata::ReadResult List(model::Collection collection) const;
@@ -125,8 +127,8 @@
   std::uint64_t revision_ = 1;
   std::uint64_t era_ = 1;
   std::deque<Replaced> replaced_;  // changes of the time from which copies may be, in order
-  std::map<Key, std::optional<model::CatalogPayload>> to_write_again_;
-  std::uint64_t oldest_kept_ = 0;
+  std::map<Key, std::optional<model::CatalogPayload>> pending_rewrites_;
+  std::uint64_t oldest_kept_revision_ = 0;
   std::size_t configurations_sent_ = 0;
   std::map<model::Collection, std::map<std::string, Object>> objects_;
   std::vector<Event> events_;
--- a/src/proxysim/world.h
+++ b/src/proxysim/world.h
@@ -36,28 +36,28 @@
   void RunUntil(common::Instant time) { queue_.RunUntil(time); }
 
   /// @return a whole number from 0 to below the limit.
-  std::uint64_t Below(std::uint64_t limit) { return limit == 0 ? 0 : random_() % limit; }
+  std::uint64_t RandomBelow(std::uint64_t limit) { return limit == 0 ? 0 : random_() % limit; }
   bool Chance(double probability) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
   }
-  common::Duration Between(common::Duration least, common::Duration most) {
+  common::Duration RandomBetween(common::Duration least, common::Duration most) {
     const auto span = static_cast<std::uint64_t>((most - least).count() + 1);
-    return least + common::Duration(static_cast<std::int64_t>(Below(span)));
+    return least + common::Duration(static_cast<std::int64_t>(RandomBelow(span)));
   }
 
   /// @return the one-way delay of a message between two parties.
-  common::Duration Delay() { return Between(kLeastDelay, kMostDelay); }
+  common::Duration NetworkDelay() { return RandomBetween(kMinDelay, kMaxDelay); }
 
   /// Cuts or restores the way from one party to another; a cut is silent.
   void Cut(const std::string& from, const std::string& to) {
     cuts_.insert({from, to});
-    NoteTrouble(from);
-    NoteTrouble(to);
+    RecordFault(from);
+    RecordFault(to);
   }
   void Heal(const std::string& from, const std::string& to) {
     cuts_.erase({from, to});
-    NoteTrouble(from);
-    NoteTrouble(to);
+    RecordFault(from);
+    RecordFault(to);
   }
   void CutBoth(const std::string& a, const std::string& b) {
     Cut(a, b);
@@ -72,12 +72,12 @@
   }
 
   /// Something that was not planned has just begun or ended at a party.
-  void NoteTrouble(const std::string& party) { troubles_[party] = Now(); }
+  void RecordFault(const std::string& party) { last_faults_[party] = Now(); }
 
   /// @return true if there is trouble at the party, or was within the time.
-  bool InTrouble(const std::string& party, common::Duration within) const {
-    const auto found = troubles_.find(party);
-    const bool lately = found != troubles_.end() && Now() < found->second + within;
+  bool HadFault(const std::string& party, common::Duration within) const {
+    const auto found = last_faults_.find(party);
+    const bool lately = found != last_faults_.end() && Now() < found->second + within;
     return lately || std::any_of(cuts_.begin(), cuts_.end(), [&](const auto& cut) {
              return cut.first == party || cut.second == party;
            });
@@ -89,13 +89,13 @@
   const std::vector<Violation>& Violations() const { return violations_; }
 
  private:
-  static constexpr common::Duration kLeastDelay{150};
-  static constexpr common::Duration kMostDelay{1'500};
+  static constexpr common::Duration kMinDelay{150};
+  static constexpr common::Duration kMaxDelay{1'500};
 
   sim::EventQueue queue_;
   std::mt19937_64 random_;
   std::set<std::pair<std::string, std::string>> cuts_;
-  std::map<std::string, common::Instant> troubles_;  // newest, by party
+  std::map<std::string, common::Instant> last_faults_;  // newest, by party
   std::vector<Violation> violations_;
 };
 
--- a/src/sim/cluster_sim.cc
+++ b/src/sim/cluster_sim.cc
@@ -54,7 +54,7 @@
       random_(shape.seed),
       nodes_(shape.daemons),
       running_(shape.daemons, false),
-      life_(shape.daemons, 0),
+      generation_(shape.daemons, 0),
       usage_(shape.daemons),
       versions_(shape.databases, 0) {
   for (std::size_t zone = 0; zone < shape_.zones; ++zone) {
@@ -115,20 +115,20 @@
       everything.entries.push_back(DatabaseEntry(database, database + 1));
     }
     nodes_[daemon]->Receive("", everything, queue_.Now());
-    ScheduleTick(daemon, life_[daemon]);
+    ScheduleTick(daemon, generation_[daemon]);
   }
   ResetUsage();
 }
 
-void ClusterSim::ScheduleTick(std::size_t daemon, std::uint64_t life) {
+void ClusterSim::ScheduleTick(std::size_t daemon, std::uint64_t generation) {
   // Daemons do not tick in step.
   const Duration offset{
       std::uniform_int_distribution<std::int64_t>(0, kTickInterval.count() - 1)(random_)};
-  queue_.After(offset, [this, daemon, life] { TickNode(daemon, life); });
+  queue_.After(offset, [this, daemon, generation] { TickNode(daemon, generation); });
 }
 
-void ClusterSim::TickNode(std::size_t daemon, std::uint64_t life) {
-  if (!running_[daemon] || life_[daemon] != life) {
+void ClusterSim::TickNode(std::size_t daemon, std::uint64_t generation) {
+  if (!running_[daemon] || generation_[daemon] != generation) {
     return;
   }
   cluster::Actions actions;
@@ -136,8 +136,8 @@
     const CpuMeter meter(usage_[daemon].cpu_ns);
     actions = nodes_[daemon]->Tick(queue_.Now());
   }
-  Act(daemon, actions);
-  queue_.After(kTickInterval, [this, daemon, life] { TickNode(daemon, life); });
+  PerformActions(daemon, actions);
+  queue_.After(kTickInterval, [this, daemon, generation] { TickNode(daemon, generation); });
 }
 
 bool ClusterSim::SameRegion(std::size_t from, std::size_t to) const {
@@ -149,14 +149,14 @@
   if (zone_index_[from] == zone_index_[to]) {
     return shape_.zone_latency;
   }
-  return SameRegion(from, to) ? shape_.region_latency : shape_.far_latency;
+  return SameRegion(from, to) ? shape_.region_latency : shape_.cross_region_latency;
 }
 
 bool ClusterSim::Reachable(std::size_t from, std::size_t to) const {
   return running_[to] && (!regions_cut_ || SameRegion(from, to));
 }
 
-void ClusterSim::Act(std::size_t daemon, const cluster::Actions& actions) {
+void ClusterSim::PerformActions(std::size_t daemon, const cluster::Actions& actions) {
   for (const cluster::Action& action : actions) {
     const auto* send = std::get_if<cluster::SendAction>(&action);
     if (send == nullptr) {
@@ -199,19 +199,19 @@
       actions = nodes_[to]->Receive(DaemonName(from), common::ValueOf(message), queue_.Now());
     }
   }
-  Act(to, actions);
+  PerformActions(to, actions);
 }
 
 void ClusterSim::Run(Duration duration) { queue_.RunUntil(queue_.Now() + duration); }
 
 void ClusterSim::Kill(std::size_t daemon) {
   running_[daemon] = false;
-  ++life_[daemon];
+  ++generation_[daemon];
 }
 
 void ClusterSim::StopPlanned(std::size_t daemon) {
-  Act(daemon, nodes_[daemon]->Leave(queue_.Now()));
-  Act(daemon, nodes_[daemon]->Finish(queue_.Now()));
+  PerformActions(daemon, nodes_[daemon]->Leave(queue_.Now()));
+  PerformActions(daemon, nodes_[daemon]->Finish(queue_.Now()));
   Kill(daemon);
 }
 
@@ -228,8 +228,8 @@
   nodes_[daemon] = std::make_unique<cluster::Node>(MemberOf(daemon, incarnation), seeds,
                                                    cluster::NodeSettings{});
   running_[daemon] = true;
-  Act(daemon, nodes_[daemon]->Start(queue_.Now()));
-  ScheduleTick(daemon, life_[daemon]);
+  PerformActions(daemon, nodes_[daemon]->Start(queue_.Now()));
+  ScheduleTick(daemon, generation_[daemon]);
 }
 
 std::size_t ClusterSim::Relays() const {
@@ -254,7 +254,7 @@
       const CpuMeter meter(usage_[daemon].cpu_ns);
       actions = nodes_[daemon]->Publish(entry, queue_.Now());
     }
-    Act(daemon, actions);
+    PerformActions(daemon, actions);
   }
   return version;
 }
--- a/src/sim/cluster_sim.h
+++ b/src/sim/cluster_sim.h
@@ -24,11 +24,11 @@
 /// Size and timing of a simulated cluster.
 struct ClusterShape {
   std::size_t daemons = 48;
-  std::size_t zones = 4;                   // spread over two regions, half of them in each
-  std::size_t databases = 75;              // database groups, three instances each
-  common::Duration zone_latency{500};      // one way inside a zone
-  common::Duration region_latency{1'500};  // one way between zones of a region
-  common::Duration far_latency{15'000};    // one way between regions
+  std::size_t zones = 4;                          // spread over two regions, half of them in each
+  std::size_t databases = 75;                     // database groups, three instances each
+  common::Duration zone_latency{500};             // one way inside a zone
+  common::Duration region_latency{1'500};         // one way between zones of a region
+  common::Duration cross_region_latency{15'000};  // one way between regions
   std::uint64_t seed = 1;
 };
 
@@ -96,9 +96,9 @@
 
  private:
   cluster::Member MemberOf(std::size_t daemon, std::uint64_t incarnation) const;
-  void TickNode(std::size_t daemon, std::uint64_t life);
-  void ScheduleTick(std::size_t daemon, std::uint64_t life);
-  void Act(std::size_t daemon, const cluster::Actions& actions);
+  void TickNode(std::size_t daemon, std::uint64_t generation);
+  void ScheduleTick(std::size_t daemon, std::uint64_t generation);
+  void PerformActions(std::size_t daemon, const cluster::Actions& actions);
   void Deliver(std::size_t from, std::size_t to, const std::string& bytes);
   common::Duration Latency(std::size_t from, std::size_t to) const;
   bool Reachable(std::size_t from, std::size_t to) const;
@@ -113,7 +113,7 @@
   std::map<cluster::MemberId, std::size_t> index_of_;
   std::vector<std::unique_ptr<cluster::Node>> nodes_;
   std::vector<bool> running_;
-  std::vector<std::uint64_t> life_;  // counts starts, so that timers of earlier ones end
+  std::vector<std::uint64_t> generation_;  // counts starts, so that timers of earlier ones end
   std::vector<NodeUsage> usage_;
   std::vector<std::uint64_t> versions_;
   std::uint64_t next_version_ = 1;
--- a/tests/proxysim/configuration_spread_test.cc
+++ b/tests/proxysim/configuration_spread_test.cc
@@ -23,22 +23,22 @@
   return shape;
 }
 
-std::size_t Behind(Cluster& cluster) {
+std::size_t CountOutdated(Cluster& cluster) {
   const std::uint64_t newest = cluster.CurrentConfiguration().version;
   return static_cast<std::size_t>(
       std::count_if(cluster.Daemons().begin(), cluster.Daemons().end(), [&](const auto& daemon) {
-        return daemon->Decisions()->CatalogView().Configuration().version < newest;
+        return daemon->Proxy()->CatalogView().Configuration().version < newest;
       }));
 }
 
 /// @return how often the store was asked for the configuration while a change went round.
-std::size_t ReadsOfAChange(Cluster& cluster) {
-  World& world = cluster.Surroundings();
+std::size_t ConfigurationReadsPerChange(Cluster& cluster) {
+  World& world = cluster.SimWorld();
   world.RunUntil(world.Now() + seconds(8));
   const std::size_t before = cluster.Store().ConfigurationsSent();
   cluster.ChangeConfiguration();
   world.RunUntil(world.Now() + seconds(1));
-  CHECK(Behind(cluster) == 0);
+  CHECK(CountOutdated(cluster) == 0);
   return cluster.Store().ConfigurationsSent() - before;
 }
 
@@ -48,28 +48,28 @@
           "[proxysim]") {
   Cluster small(1, ShapeOf(40));
   Cluster larger(1, ShapeOf(160));
-  const std::size_t by_few = ReadsOfAChange(small);
+  const std::size_t by_few = ConfigurationReadsPerChange(small);
   CHECK(by_few < 40);
-  CHECK(ReadsOfAChange(larger) <= by_few + kZones);
+  CHECK(ConfigurationReadsPerChange(larger) <= by_few + kZones);
 }
 
 TEST_CASE("At the first start of many daemons few read the configuration from the store",
           "[proxysim]") {
   Cluster cluster(1, ShapeOf(160));
-  cluster.Surroundings().RunUntil(seconds(6));
-  CHECK(Behind(cluster) == 0);
+  cluster.SimWorld().RunUntil(seconds(6));
+  CHECK(CountOutdated(cluster) == 0);
   CHECK(cluster.Store().ConfigurationsSent() < 60);
 }
 
 TEST_CASE("Without any hub that reads it, daemons read the configuration by themselves",
           "[proxysim]") {
   Cluster cluster(1, ShapeOf(40));
-  World& world = cluster.Surroundings();
+  World& world = cluster.SimWorld();
   world.RunUntil(seconds(8));
   for (const auto& daemon : cluster.Daemons()) {
-    const auto& roles = daemon->Decisions()->Roles();
-    const bool looks = roles.coordinates() || roles.is_deputy();
-    if (looks || daemon->Decisions()->View().is_hub()) {
+    const auto& roles = daemon->Proxy()->Roles();
+    const bool reads_store = roles.coordinates() || roles.is_deputy();
+    if (reads_store || daemon->Proxy()->View().is_hub()) {
       world.CutBoth(daemon->Name(), kStore);
     }
   }
@@ -77,27 +77,27 @@
   world.RunUntil(world.Now() + seconds(30));
   const std::uint64_t newest = cluster.CurrentConfiguration().version;
   CHECK(std::any_of(cluster.Daemons().begin(), cluster.Daemons().end(), [&](const auto& daemon) {
-    return daemon->Decisions()->CatalogView().Configuration().version == newest;
+    return daemon->Proxy()->CatalogView().Configuration().version == newest;
   }));
 }
 
 TEST_CASE("An owner that restarts while the store is away learns of the instances from others",
           "[proxysim]") {
   Cluster cluster(1, ShapeOf(40));
-  World& world = cluster.Surroundings();
+  World& world = cluster.SimWorld();
   world.RunUntil(seconds(8));
-  cluster.Store().faults.silent = true;
+  cluster.Store().faults.unresponsive = true;
   const auto owner =
       std::find_if(cluster.Daemons().begin(), cluster.Daemons().end(), [](const auto& daemon) {
-        return daemon->Decisions()->Roles().watches_any() && !daemon->Decisions()->View().is_hub();
+        return daemon->Proxy()->Roles().watches_any() && !daemon->Proxy()->View().is_hub();
       });
   REQUIRE(owner != cluster.Daemons().end());
   (*owner)->Kill();
   world.RunUntil(world.Now() + milliseconds(200));
   (*owner)->Start();
   world.RunUntil(world.Now() + seconds(6));
-  CHECK(Behind(cluster) == 0);
-  CHECK_FALSE((*owner)->Decisions()->CatalogView().Instances().empty());
+  CHECK(CountOutdated(cluster) == 0);
+  CHECK_FALSE((*owner)->Proxy()->CatalogView().Instances().empty());
 }
 
 }  // namespace valvekeel::proxysim
--- a/tests/proxysim/evacuation_test.cc
+++ b/tests/proxysim/evacuation_test.cc
@@ -24,7 +24,7 @@
 constexpr Instant kEvacuatedAt = seconds(10);
 constexpr Instant kEnd = seconds(24);
 /// A replacement without a failure takes 0.4 s here; a further coordinator takes over after 2.3 s.
-constexpr Duration kReplacedWithin = seconds(8);
+constexpr Duration kReplacementTimeout = seconds(8);
 
 ClusterShape MakeShape(std::uint32_t sync_replicas) {
   ClusterShape shape;
@@ -37,18 +37,18 @@
 }
 
 /// A deployment with callers, whose log lines bring failures about.
-class EvacuationDay {
+class EvacuationScenario {
  public:
   /// @param sync_replicas with 2 of 4 replicas a replacement bears the loss of one, with 1 it
   /// waits.
-  explicit EvacuationDay(std::uint32_t sync_replicas = 2)
+  explicit EvacuationScenario(std::uint32_t sync_replicas = 2)
       : cluster(kSeed, MakeShape(sync_replicas)) {
-    monitor_ = group.on_work;
-    group.on_work = [this](const std::string& instance, const std::string& daemon) {
-      NoteWork(instance, daemon);
+    monitor_ = group.on_request;
+    group.on_request = [this](const std::string& instance, const std::string& daemon) {
+      RecordRequest(instance, daemon);
     };
     cluster.on_log = [this](const std::string& daemon, const proxy::LogEvent& event) {
-      NoteLog(daemon, event);
+      OnLogEvent(daemon, event);
     };
     world.RunUntil(seconds(2));
     callers = std::make_unique<Callers>(cluster, kSessions);
@@ -60,12 +60,12 @@
 
   void Evacuate(const std::string& evacuated) {
     cluster.Evacuate(evacuated);
-    since[evacuated] = world.Now();
+    evacuated_since[evacuated] = world.Now();
   }
 
   void EndEvacuation(const std::string& ended) {
     cluster.EndEvacuation(ended);
-    since.erase(ended);
+    evacuated_since.erase(ended);
   }
 
   /// Runs an action once, when a step of a replacement is logged.
@@ -76,28 +76,28 @@
   }
 
   /// @return true if the group has a primary outside the evacuated zones.
-  bool LedElsewhere() {
+  bool HasPrimaryElsewhere() {
     const SimulatedInstance* primary = group.Primary();
-    return primary != nullptr && !cluster.Evacuated(cluster.ZoneOfInstance(primary->id));
+    return primary != nullptr && !cluster.IsEvacuated(cluster.ZoneOfInstance(primary->id));
   }
 
   /// @return true if all daemons know of the evacuation.
-  bool AllKnow() {
+  bool AllApplyEvacuation() {
     return std::all_of(cluster.Daemons().begin(), cluster.Daemons().end(), [&](const auto& daemon) {
-      return daemon->Decisions()->Evacuations().evacuated(zone);
+      return daemon->Proxy()->Evacuations().evacuated(zone);
     });
   }
 
   /// Runs until the group is led elsewhere. @return how long that took.
-  Duration UntilLedElsewhere() {
+  Duration RunUntilPrimaryElsewhere() {
     const Instant start = world.Now();
-    while (!LedElsewhere() && world.Now() < kEnd) {
+    while (!HasPrimaryElsewhere() && world.Now() < kEnd) {
       world.RunUntil(world.Now() + milliseconds(10));
     }
     return world.Now() - start;
   }
 
-  double ServedIn(Instant from, Instant to) const {
+  double ServedShare(Instant from, Instant to) const {
     std::size_t begun = 0;
     std::size_t succeeded = 0;
     for (std::size_t second = Second(from); second < Second(to); ++second) {
@@ -108,26 +108,26 @@
   }
 
   /// Runs to the end; all rules were kept, and all is served in the last seconds.
-  void CheckEnd() {
+  void CheckOutcome() {
     world.RunUntil(kEnd + seconds(1));
     for (const Violation& violation : world.Violations()) {
       UNSCOPED_INFO(violation.rule << ": " << violation.detail);
     }
     CHECK(world.Violations().empty());
     CHECK(late == 0);
-    CHECK(ServedIn(kEnd - seconds(3), kEnd) > 0.99);
+    CHECK(ServedShare(kEnd - seconds(3), kEnd) > 0.99);
   }
 
   Cluster cluster;
-  World& world = cluster.Surroundings();
+  World& world = cluster.SimWorld();
   DatabaseGroup& group = *cluster.Groups().begin()->second;
   std::unique_ptr<Callers> callers;
-  std::string former;                      // primary
-  std::string zone;                        // of the former primary
-  std::map<std::string, Instant> since;    // by evacuated zone
-  std::map<std::string, std::size_t> met;  // work in evacuated zones, by daemon
-  std::size_t late = 0;                    // the same later than the limit, whatever the excuse
-  std::size_t barred = 0;                  // transactions rolled back for it
+  std::string former;                                        // primary
+  std::string zone;                                          // of the former primary
+  std::map<std::string, Instant> evacuated_since;            // by evacuated zone
+  std::map<std::string, std::size_t> requests_in_evacuated;  // work in evacuated zones, by daemon
+  std::size_t late = 0;     // the same later than the limit, whatever the excuse
+  std::size_t blocked = 0;  // transactions rolled back for it
   /// @return true if a request was refused for the cause, with a time to come back.
   bool RefusedFor(const std::string& cause) const {
     return std::any_of(reasons.begin(), reasons.end(), [&](const std::string& reason) {
@@ -142,20 +142,20 @@
     return static_cast<std::size_t>(std::chrono::duration_cast<seconds>(at).count());
   }
 
-  void NoteWork(const std::string& instance, const std::string& daemon) {
+  void RecordRequest(const std::string& instance, const std::string& daemon) {
     monitor_(instance, daemon);
-    const auto evacuated = since.find(cluster.ZoneOfInstance(instance));
-    if (evacuated == since.end()) {
+    const auto evacuated = evacuated_since.find(cluster.ZoneOfInstance(instance));
+    if (evacuated == evacuated_since.end()) {
       return;
     }
-    ++met[daemon];
+    ++requests_in_evacuated[daemon];
     late += world.Now() > evacuated->second + kEvacuationLimit ? 1 : 0;
   }
 
-  void NoteLog(const std::string& daemon, const proxy::LogEvent& event) {
+  void OnLogEvent(const std::string& daemon, const proxy::LogEvent& event) {
     std::map<std::string, std::string> fields(event.fields.begin(), event.fields.end());
     const std::string name = event.event;
-    barred += name == "transaction_barred" ? 1 : 0;
+    blocked += name == "transaction_barred" ? 1 : 0;
     if (name == "request_failed") {
       reasons.insert(fields["reason"]);
     }
@@ -171,11 +171,11 @@
 };
 
 /// @return how many calls a deployment makes to its store in ten seconds at rest.
-std::size_t CallsAtRest(std::size_t daemons, Duration evacuation_limit) {
+std::size_t StoreCallsWhenIdle(std::size_t daemons, Duration evacuation_limit) {
   ClusterShape shape;
   shape.daemons = daemons;
   shape.zones = 2;
-  shape.group.most_connections = 24;
+  shape.group.max_connections = 24;
   shape.evacuation_limit = evacuation_limit;
   Cluster cluster(kSeed, shape);
   Callers callers(cluster, kSessions);
@@ -186,9 +186,9 @@
     }
     return all;
   };
-  cluster.Surroundings().RunUntil(seconds(15));
+  cluster.SimWorld().RunUntil(seconds(15));
   const std::size_t before = calls();
-  cluster.Surroundings().RunUntil(seconds(25));
+  cluster.SimWorld().RunUntil(seconds(25));
   return calls() - before;
 }
 
@@ -197,190 +197,193 @@
 TEST_CASE("At rest evacuations cost one call a second, whatever the number of daemons",
           "[proxysim][evacuation]") {
   const std::size_t daemons = GENERATE(6, 20);  // of 20, sessions are handed to owners
-  const std::size_t without = CallsAtRest(daemons, Duration(0));
-  const std::size_t with = CallsAtRest(daemons, kEvacuationLimit);
+  const std::size_t without = StoreCallsWhenIdle(daemons, Duration(0));
+  const std::size_t with = StoreCallsWhenIdle(daemons, kEvacuationLimit);
   INFO(with << " calls with, " << without << " without");
   CHECK(with >= without + 8);
   CHECK(with <= without + 12);
 }
 
 TEST_CASE("A primary in an evacuated zone is replaced by plan", "[proxysim][evacuation]") {
-  EvacuationDay day;
-  day.Evacuate(day.zone);
-  CHECK(day.UntilLedElsewhere() < seconds(2));
-  day.CheckEnd();
-  CHECK(day.ServedIn(kEvacuatedAt, kEnd) > 0.97);
+  EvacuationScenario scenario;
+  scenario.Evacuate(scenario.zone);
+  CHECK(scenario.RunUntilPrimaryElsewhere() < seconds(2));
+  scenario.CheckOutcome();
+  CHECK(scenario.ServedShare(kEvacuatedAt, kEnd) > 0.97);
 }
 
 TEST_CASE("The coordinator is lost between decision and promotion", "[proxysim][evacuation]") {
-  EvacuationDay day;
+  EvacuationScenario scenario;
   bool killed = false;
-  day.OnStep("record", [&](const std::string& daemon, const std::string&) {
+  scenario.OnStep("record", [&](const std::string& daemon, const std::string&) {
     killed = true;
-    for (const auto& each : day.cluster.Daemons()) {
+    for (const auto& each : scenario.cluster.Daemons()) {
       if (each->Name() == daemon) {
         each->Kill();
-        day.world.After(seconds(6), [&host = *each] { host.Start(); });
+        scenario.world.After(seconds(6), [&host = *each] { host.Start(); });
       }
     }
   });
-  day.Evacuate(day.zone);
-  CHECK(day.UntilLedElsewhere() < kReplacedWithin);
+  scenario.Evacuate(scenario.zone);
+  CHECK(scenario.RunUntilPrimaryElsewhere() < kReplacementTimeout);
   CHECK(killed);
-  day.CheckEnd();
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("The promotion's answer is lost", "[proxysim][evacuation]") {
-  EvacuationDay day;
+  EvacuationScenario scenario;
   bool cut = false;
-  day.OnStep("promote", [&](const std::string& daemon, const std::string&) {
+  scenario.OnStep("promote", [&](const std::string& daemon, const std::string&) {
     cut = true;
-    day.world.Cut("platform", daemon);
-    day.world.After(seconds(1), [&day, daemon] { day.world.Heal("platform", daemon); });
+    scenario.world.Cut("platform", daemon);
+    scenario.world.After(seconds(1),
+                         [&scenario, daemon] { scenario.world.Heal("platform", daemon); });
   });
-  day.Evacuate(day.zone);
-  CHECK(day.UntilLedElsewhere() < kReplacedWithin);
+  scenario.Evacuate(scenario.zone);
+  CHECK(scenario.RunUntilPrimaryElsewhere() < kReplacementTimeout);
   CHECK(cut);
-  day.CheckEnd();
-  CHECK(day.group.Primary()->term == 2);  // promoted once
+  scenario.CheckOutcome();
+  CHECK(scenario.group.Primary()->term == 2);  // promoted once
 }
 
 TEST_CASE("The chosen replica dies before it is promoted", "[proxysim][evacuation]") {
-  EvacuationDay day;
+  EvacuationScenario scenario;
   std::string chosen;
-  day.OnStep("record", [&](const std::string&, const std::string& candidate) {
+  scenario.OnStep("record", [&](const std::string&, const std::string& candidate) {
     chosen = candidate;
-    day.group.Crash(candidate, false);
+    scenario.group.Crash(candidate, false);
   });
-  day.Evacuate(day.zone);
-  CHECK(day.UntilLedElsewhere() < kReplacedWithin);
+  scenario.Evacuate(scenario.zone);
+  CHECK(scenario.RunUntilPrimaryElsewhere() < kReplacementTimeout);
   REQUIRE_FALSE(chosen.empty());
-  REQUIRE(day.LedElsewhere());
-  CHECK(day.group.Primary()->id != chosen);
-  day.CheckEnd();
+  REQUIRE(scenario.HasPrimaryElsewhere());
+  CHECK(scenario.group.Primary()->id != chosen);
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("The chosen replica dies, and all replicas must be fenced: it is waited for",
           "[proxysim][evacuation]") {
-  constexpr Duration kAway = seconds(3);
-  EvacuationDay day(1);
+  constexpr Duration kDownTime = seconds(3);
+  EvacuationScenario scenario(1);
   bool crashed = false;
-  day.OnStep("record", [&](const std::string&, const std::string& candidate) {
+  scenario.OnStep("record", [&](const std::string&, const std::string& candidate) {
     crashed = true;
-    day.group.Crash(candidate, false);
-    day.world.After(kAway, [&day, candidate] { day.group.Restart(candidate); });
+    scenario.group.Crash(candidate, false);
+    scenario.world.After(kDownTime, [&scenario, candidate] { scenario.group.Restart(candidate); });
   });
-  day.Evacuate(day.zone);
-  const Duration taken = day.UntilLedElsewhere();
+  scenario.Evacuate(scenario.zone);
+  const Duration taken = scenario.RunUntilPrimaryElsewhere();
   CHECK(crashed);
-  CHECK(taken > kAway);
-  CHECK(taken < kAway + kReplacedWithin);
-  day.CheckEnd();
+  CHECK(taken > kDownTime);
+  CHECK(taken < kDownTime + kReplacementTimeout);
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("The chosen replica's zone is evacuated too", "[proxysim][evacuation]") {
-  EvacuationDay day;
+  EvacuationScenario scenario;
   std::string chosen;
-  day.OnStep("record", [&](const std::string&, const std::string& candidate) {
+  scenario.OnStep("record", [&](const std::string&, const std::string& candidate) {
     chosen = candidate;
-    day.Evacuate(day.cluster.ZoneOfInstance(candidate));
+    scenario.Evacuate(scenario.cluster.ZoneOfInstance(candidate));
   });
-  day.Evacuate(day.zone);
-  day.world.RunUntil(kEvacuatedAt + seconds(2));
+  scenario.Evacuate(scenario.zone);
+  scenario.world.RunUntil(kEvacuatedAt + seconds(2));
   REQUIRE_FALSE(chosen.empty());
-  CHECK(day.UntilLedElsewhere() < kReplacedWithin);
-  day.CheckEnd();
+  CHECK(scenario.RunUntilPrimaryElsewhere() < kReplacementTimeout);
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("Two zones are evacuated at once", "[proxysim][evacuation]") {
-  EvacuationDay day;
+  EvacuationScenario scenario;
   std::string second;
-  for (const auto& [id, instance] : day.group.Instances()) {
-    second = day.cluster.ZoneOfInstance(id) != day.zone ? day.cluster.ZoneOfInstance(id) : second;
+  for (const auto& [id, instance] : scenario.group.Instances()) {
+    second = scenario.cluster.ZoneOfInstance(id) != scenario.zone
+                 ? scenario.cluster.ZoneOfInstance(id)
+                 : second;
   }
   REQUIRE_FALSE(second.empty());
-  day.Evacuate(day.zone);
-  day.Evacuate(second);
-  CHECK(day.UntilLedElsewhere() < kReplacedWithin);
-  day.CheckEnd();
+  scenario.Evacuate(scenario.zone);
+  scenario.Evacuate(second);
+  CHECK(scenario.RunUntilPrimaryElsewhere() < kReplacementTimeout);
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("The store is lost after it told of the evacuation", "[proxysim][evacuation]") {
   const bool silent = GENERATE(false, true);
-  EvacuationDay day;
-  day.Evacuate(day.zone);
+  EvacuationScenario scenario;
+  scenario.Evacuate(scenario.zone);
   StoreFaults away;
-  (silent ? away.silent : away.down) = true;
-  while (!day.AllKnow() && day.world.Now() < kEvacuatedAt + seconds(2)) {
-    day.world.RunUntil(day.world.Now() + milliseconds(1));
+  (silent ? away.unresponsive : away.refusing) = true;
+  while (!scenario.AllApplyEvacuation() && scenario.world.Now() < kEvacuatedAt + seconds(2)) {
+    scenario.world.RunUntil(scenario.world.Now() + milliseconds(1));
   }
-  REQUIRE(day.AllKnow());
-  REQUIRE_FALSE(day.LedElsewhere());
-  day.cluster.Store().faults = away;
-  day.world.RunUntil(kEvacuatedAt + kEvacuationLimit + seconds(2));
-  CHECK_FALSE(day.LedElsewhere());  // no promotion without the store
-  CHECK(day.late == 0);
+  REQUIRE(scenario.AllApplyEvacuation());
+  REQUIRE_FALSE(scenario.HasPrimaryElsewhere());
+  scenario.cluster.Store().faults = away;
+  scenario.world.RunUntil(kEvacuatedAt + kEvacuationLimit + seconds(2));
+  CHECK_FALSE(scenario.HasPrimaryElsewhere());  // no promotion without the store
+  CHECK(scenario.late == 0);
   // The time to come back differs from caller to caller (src/waiting/come_back.h).
-  CHECK(day.RefusedFor("no usable primary"));
-  day.cluster.Store().faults = {};
-  CHECK(day.UntilLedElsewhere() < kReplacedWithin);
-  day.CheckEnd();
+  CHECK(scenario.RefusedFor("no usable primary"));
+  scenario.cluster.Store().faults = {};
+  CHECK(scenario.RunUntilPrimaryElsewhere() < kReplacementTimeout);
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("The store forgets its history during an evacuation", "[proxysim][evacuation]") {
-  EvacuationDay day;
-  day.Evacuate(day.zone);
-  day.cluster.Store().Compact();
-  CHECK(day.UntilLedElsewhere() < seconds(2));
-  day.EndEvacuation(day.zone);
-  day.cluster.Store().Compact();
-  day.CheckEnd();
+  EvacuationScenario scenario;
+  scenario.Evacuate(scenario.zone);
+  scenario.cluster.Store().Compact();
+  CHECK(scenario.RunUntilPrimaryElsewhere() < seconds(2));
+  scenario.EndEvacuation(scenario.zone);
+  scenario.cluster.Store().Compact();
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("A daemon that starts during an evacuation sends nothing to the zone",
           "[proxysim][evacuation]") {
-  EvacuationDay day;
-  DaemonHost& daemon = *day.cluster.Daemons().back();
+  EvacuationScenario scenario;
+  DaemonHost& daemon = *scenario.cluster.Daemons().back();
   daemon.Kill();
-  day.Evacuate(day.zone);
-  day.world.RunUntil(kEvacuatedAt + milliseconds(500));
-  REQUIRE(day.met[daemon.Name()] == 0);
+  scenario.Evacuate(scenario.zone);
+  scenario.world.RunUntil(kEvacuatedAt + milliseconds(500));
+  REQUIRE(scenario.requests_in_evacuated[daemon.Name()] == 0);
   daemon.Start();
-  day.CheckEnd();
-  CHECK(daemon.Decisions()->Dispatch().Counters().succeeded > 0);
-  CHECK(day.met[daemon.Name()] == 0);
+  scenario.CheckOutcome();
+  CHECK(daemon.Proxy()->Dispatch().Counters().succeeded > 0);
+  CHECK(scenario.requests_in_evacuated[daemon.Name()] == 0);
 }
 
 TEST_CASE("An evacuation is taken back while the primary is replaced", "[proxysim][evacuation]") {
-  EvacuationDay day;
+  EvacuationScenario scenario;
   bool taken_back = false;
-  day.OnStep("fence", [&](const std::string&, const std::string&) {
+  scenario.OnStep("fence", [&](const std::string&, const std::string&) {
     taken_back = true;
-    day.EndEvacuation(day.zone);
+    scenario.EndEvacuation(scenario.zone);
   });
-  day.Evacuate(day.zone);
-  day.world.RunUntil(kEvacuatedAt + seconds(3));
+  scenario.Evacuate(scenario.zone);
+  scenario.world.RunUntil(kEvacuatedAt + seconds(3));
   CHECK(taken_back);
-  REQUIRE(day.group.Primary() != nullptr);
-  CHECK(day.group.Primary()->term <= 2);  // not to and fro
-  day.CheckEnd();
+  REQUIRE(scenario.group.Primary() != nullptr);
+  CHECK(scenario.group.Primary()->term <= 2);  // not to and fro
+  scenario.CheckOutcome();
 }
 
 TEST_CASE("All zones evacuated: refused at once, and served again after",
           "[proxysim][evacuation]") {
-  EvacuationDay day;
-  const std::size_t zones = day.cluster.Shape().zones;
+  EvacuationScenario scenario;
+  const std::size_t zones = scenario.cluster.Shape().zones;
   for (std::size_t number = 0; number < zones; ++number) {
-    day.Evacuate(ZoneName(number));
+    scenario.Evacuate(ZoneName(number));
   }
-  day.world.RunUntil(kEvacuatedAt + seconds(8));
-  CHECK(day.reasons.contains("retry_after_ms=1000 evacuated"));
-  CHECK(day.ServedIn(kEvacuatedAt + seconds(5), kEvacuatedAt + seconds(7)) == 0);
+  scenario.world.RunUntil(kEvacuatedAt + seconds(8));
+  CHECK(scenario.reasons.contains("retry_after_ms=1000 evacuated"));
+  CHECK(scenario.ServedShare(kEvacuatedAt + seconds(5), kEvacuatedAt + seconds(7)) == 0);
   for (std::size_t number = 0; number < zones; ++number) {
-    day.EndEvacuation(ZoneName(number));
+    scenario.EndEvacuation(ZoneName(number));
   }
-  day.CheckEnd();
-  CHECK(day.group.Primary()->term == 1);
+  scenario.CheckOutcome();
+  CHECK(scenario.group.Primary()->term == 1);
 }
 
 }  // namespace valvekeel::proxysim
--- a/tests/proxysim/planned_stops_test.cc
+++ b/tests/proxysim/planned_stops_test.cc
@@ -18,7 +18,7 @@
 
 /// Plays one day of planned stops. @return its violations as text.
 std::string Violations(ScenarioOptions options) {
-  options.planned = true;
+  options.planned_stops = true;
   const ScenarioResult result = RunScenario(options);
   CHECK(result.stops > 0);
   CHECK((result.relayed > 0) == options.large);
@@ -54,27 +54,27 @@
 TEST_CASE("A command without an answer counts beside planned stops alone", "[proxysim][planned]") {
   World world(1);
   AnswerChecker checker(world);
-  const CutCommand cut{"a command", {"daemon", "owner"}};
-  checker.Cut(cut);
+  const UnansweredCommand cut{"a command", {"daemon", "owner"}};
+  checker.OnUnanswered(cut);
   CHECK(world.Violations().empty());  // no stop
-  world.NoteTrouble("owner");
+  world.RecordFault("owner");
   world.RunUntil(std::chrono::seconds(4));
-  checker.StopPlanned();
-  checker.Cut(cut);
+  checker.OnPlannedStop();
+  checker.OnUnanswered(cut);
   CHECK(world.Violations().empty());  // its owner was in trouble
   world.RunUntil(std::chrono::seconds(6));
-  checker.Cut(cut);
+  checker.OnUnanswered(cut);
   REQUIRE(world.Violations().size() == 1);
   CHECK(world.Violations().front().rule == "UNANSWERED");
   world.CutBoth("daemon", "another");
   world.RunUntil(std::chrono::seconds(10));
-  checker.StopPlanned();
+  checker.OnPlannedStop();
   world.RunUntil(std::chrono::seconds(16));
-  checker.Cut(cut);
+  checker.OnUnanswered(cut);
   CHECK(world.Violations().size() == 1);  // a way to it is still cut
   world.HealBoth("daemon", "another");
   world.RunUntil(std::chrono::seconds(40));
-  checker.Cut(cut);
+  checker.OnUnanswered(cut);
   CHECK(world.Violations().size() == 1);  // long after the stop
 }
 
--- a/tests/proxysim/restart_test.cc
+++ b/tests/proxysim/restart_test.cc
@@ -16,17 +16,17 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kSessions = 40;
-constexpr Duration kSettled = seconds(6);
+constexpr Duration kServingAt = seconds(6);
 
 /// A deployment of one group that serves.
-struct RestartDay {
-  explicit RestartDay(const proxy::Mechanisms& mechanisms, std::uint64_t seed)
+struct RestartScenario {
+  explicit RestartScenario(const proxy::Mechanisms& mechanisms, std::uint64_t seed)
       : cluster(seed, ShapeOf(mechanisms)),
-        world(cluster.Surroundings()),
+        world(cluster.SimWorld()),
         group(*cluster.Groups().begin()->second) {
     world.RunUntil(seconds(2));
     callers = std::make_unique<Callers>(cluster, kSessions);
-    world.RunUntil(kSettled);
+    world.RunUntil(kServingAt);
   }
 
   static ClusterShape ShapeOf(const proxy::Mechanisms& mechanisms) {
@@ -46,7 +46,7 @@
     return ids;
   }
 
-  std::size_t Broken(const std::string& rule) {
+  std::size_t CountViolations(const std::string& rule) {
     std::size_t count = 0;
     for (const Violation& violation : world.Violations()) {
       INFO(violation.rule << " " << violation.detail);
@@ -66,26 +66,26 @@
 /// The replica that alone holds the newest commits starts again with nothing, and the primary dies.
 /// @return how often a promotion lost a commit.
 std::size_t CommitsLost(const proxy::Mechanisms& mechanisms) {
-  RestartDay day(mechanisms, 3);
-  const std::vector<std::string> replicas = day.Replicas();
-  day.group.Instances().at(replicas[1]).deaf = true;
-  day.RunFor(seconds(1));
-  const std::string primary = day.group.Primary()->id;
-  day.group.Instances().at(replicas[0]).deaf = true;
-  day.group.RestartAnew(replicas[0], false);
-  day.group.Crash(primary, false);
-  day.RunFor(seconds(10));
-  return day.Broken("LOST");
+  RestartScenario scenario(mechanisms, 3);
+  const std::vector<std::string> replicas = scenario.Replicas();
+  scenario.group.Instances().at(replicas[1]).replication_blocked = true;
+  scenario.RunFor(seconds(1));
+  const std::string primary = scenario.group.Primary()->id;
+  scenario.group.Instances().at(replicas[0]).replication_blocked = true;
+  scenario.group.RestartEmpty(replicas[0], false);
+  scenario.group.Crash(primary, false);
+  scenario.RunFor(seconds(10));
+  return scenario.CountViolations("LOST");
 }
 
 /// The primary starts again at once, with nothing, and takes itself for the primary of its term.
 /// @return how often a read missed a commit.
 std::size_t StaleReads(const proxy::Mechanisms& mechanisms) {
-  RestartDay day(mechanisms, 4);
-  const std::string primary = day.group.Primary()->id;
-  day.group.RestartAnew(primary, true);
-  day.RunFor(seconds(8));
-  return day.Broken("STALE");
+  RestartScenario scenario(mechanisms, 4);
+  const std::string primary = scenario.group.Primary()->id;
+  scenario.group.RestartEmpty(primary, true);
+  scenario.RunFor(seconds(8));
+  return scenario.CountViolations("STALE");
 }
 
 }  // namespace
@@ -105,26 +105,26 @@
   without.required_positions = false;
   CHECK(StaleReads(without) > 0);
 
-  RestartDay day({}, 4);
-  const std::string primary = day.group.Primary()->id;
-  day.group.RestartAnew(primary, true);
-  day.RunFor(seconds(4));
-  REQUIRE(day.group.Primary() != nullptr);
-  CHECK(day.group.Primary()->id != primary);
-  CHECK(day.Broken("LOST") == 0);
+  RestartScenario scenario({}, 4);
+  const std::string primary = scenario.group.Primary()->id;
+  scenario.group.RestartEmpty(primary, true);
+  scenario.RunFor(seconds(4));
+  REQUIRE(scenario.group.Primary() != nullptr);
+  CHECK(scenario.group.Primary()->id != primary);
+  CHECK(scenario.CountViolations("LOST") == 0);
 }
 
 TEST_CASE("A replica that starts again is caught up, and the group goes on", "[proxysim]") {
-  RestartDay day({}, 5);
-  for (const std::string& id : day.Replicas()) {
-    day.group.RestartAnew(id, false);
-    day.RunFor(seconds(2));
+  RestartScenario scenario({}, 5);
+  for (const std::string& id : scenario.Replicas()) {
+    scenario.group.RestartEmpty(id, false);
+    scenario.RunFor(seconds(2));
   }
-  day.group.Crash(day.group.Primary()->id, false);
-  day.RunFor(seconds(6));
-  REQUIRE(day.group.Primary() != nullptr);
-  CHECK(day.group.Primary()->alive);
-  CHECK(day.world.Violations().empty());
+  scenario.group.Crash(scenario.group.Primary()->id, false);
+  scenario.RunFor(seconds(6));
+  REQUIRE(scenario.group.Primary() != nullptr);
+  CHECK(scenario.group.Primary()->alive);
+  CHECK(scenario.world.Violations().empty());
 }
 
 }  // namespace valvekeel::proxysim
--- a/tests/proxysim/scenario_test.cc
+++ b/tests/proxysim/scenario_test.cc
@@ -21,11 +21,11 @@
 
 constexpr std::uint64_t kSeeds = 24;
 constexpr std::uint64_t kLargeSeeds = 6;
-constexpr std::uint64_t kSeedsWithout = 300;
+constexpr std::uint64_t kMaxSeedsWithoutMechanism = 300;
 
 /// @return the first seed whose day breaks the rule without the mechanism, 0 if there is none.
-std::uint64_t FirstBroken(const std::string& rule, const proxy::Mechanisms& mechanisms) {
-  for (std::uint64_t seed = 1; seed <= kSeedsWithout; ++seed) {
+std::uint64_t FirstViolatingSeed(const std::string& rule, const proxy::Mechanisms& mechanisms) {
+  for (std::uint64_t seed = 1; seed <= kMaxSeedsWithoutMechanism; ++seed) {
     ScenarioOptions options;
     options.seed = seed;
     options.faults = 24;
@@ -55,7 +55,7 @@
     ScenarioOptions options;
     options.seed = seed;
     options.faults = 16;
-    options.anew = true;
+    options.restart_empty = true;
     INFO("seed " << seed);
     CHECK(Violations(options).empty());
   }
@@ -112,19 +112,19 @@
 TEST_CASE("Without a mechanism its checker fails", "[proxysim]") {
   proxy::Mechanisms no_lease;
   no_lease.read_lease = false;
-  CHECK(FirstBroken("STALE", no_lease) != 0);
+  CHECK(FirstViolatingSeed("STALE", no_lease) != 0);
   proxy::Mechanisms no_positions;
   no_positions.required_positions = false;
-  CHECK(FirstBroken("STALE", no_positions) != 0);
+  CHECK(FirstViolatingSeed("STALE", no_positions) != 0);
   proxy::Mechanisms one_fence;
   one_fence.enough_fences = false;
-  CHECK(FirstBroken("LOST", one_fence) != 0);
+  CHECK(FirstViolatingSeed("LOST", one_fence) != 0);
   proxy::Mechanisms no_reset;
   no_reset.session_reset = false;
-  CHECK(FirstBroken("PINNED", no_reset) != 0);
+  CHECK(FirstViolatingSeed("PINNED", no_reset) != 0);
   proxy::Mechanisms sent_again;
   sent_again.unknown_outcomes = false;
-  CHECK(FirstBroken("TWICE", sent_again) != 0);
+  CHECK(FirstViolatingSeed("TWICE", sent_again) != 0);
 }
 
 TEST_CASE("Keys taken away or passed on are served for their tenant, and no longer than allowed",
@@ -144,9 +144,9 @@
 }
 
 TEST_CASE("Without a mechanism of the tenants its checker fails", "[proxysim][tenants]") {
-  const auto first_broken = [](bool key_proof, const proxy::Mechanisms& mechanisms) {
-    constexpr std::uint64_t kMostSeeds = 400;
-    for (std::uint64_t seed = 1; seed <= kMostSeeds; ++seed) {
+  const auto first_violating_seed = [](bool key_proof, const proxy::Mechanisms& mechanisms) {
+    constexpr std::uint64_t kMaxSeeds = 400;
+    for (std::uint64_t seed = 1; seed <= kMaxSeeds; ++seed) {
       ScenarioOptions options;
       options.seed = seed;
       options.tenants = true;
@@ -161,10 +161,10 @@
     }
     return std::uint64_t{0};
   };
-  CHECK(first_broken(false, {}) != 0);
+  CHECK(first_violating_seed(false, {}) != 0);
   proxy::Mechanisms shared_connections;
   shared_connections.tenant_connections = false;
-  CHECK(first_broken(true, shared_connections) != 0);
+  CHECK(first_violating_seed(true, shared_connections) != 0);
 }
 
 TEST_CASE("Zones are evacuated in faulty days, and nothing reaches them too late",
@@ -184,8 +184,8 @@
 
 TEST_CASE("Without the bound of an evacuation its checker fails", "[proxysim][evacuation]") {
   std::set<std::string> broken;
-  constexpr std::uint64_t kMostSeeds = 12;
-  for (std::uint64_t seed = 1; seed <= kMostSeeds; ++seed) {
+  constexpr std::uint64_t kMaxSeeds = 12;
+  for (std::uint64_t seed = 1; seed <= kMaxSeeds; ++seed) {
     ScenarioOptions options;
     options.seed = seed;
     options.evacuations = true;
@@ -304,10 +304,10 @@
 
 TEST_CASE("Primaries outside their regions are replaced before traffic, and then stay",
           "[proxysim][regions]") {
-  constexpr std::uint64_t kMostSeeds = 8;
+  constexpr std::uint64_t kMaxSeeds = 8;
   constexpr common::Duration kBeforeTraffic{14'000'000};
   std::size_t replaced = 0;
-  for (std::uint64_t seed = 1; seed <= kMostSeeds; ++seed) {
+  for (std::uint64_t seed = 1; seed <= kMaxSeeds; ++seed) {
     ClusterShape shape;
     shape.zones = 4;
     shape.regions = 2;
@@ -319,8 +319,8 @@
     for (const auto& [database, route] : cluster.CurrentConfiguration().routes) {
       cluster.LimitRoute(database, {home});
     }
-    cluster.Surroundings().RunUntil(kBeforeTraffic);
-    std::map<std::string, std::string> settled;
+    cluster.SimWorld().RunUntil(kBeforeTraffic);
+    std::map<std::string, std::string> primaries;
     for (const auto& [service, group] : cluster.Groups()) {
       const auto lies_at_home = [&](const std::string& id) {
         return cluster.Regions().at(cluster.ZoneOfInstance(id)) == home;
@@ -333,13 +333,13 @@
       CHECK(lies_at_home(group->Primary()->id) == may);
       CHECK(group->Primary()->term <= 2);
       replaced += group->Primary()->term - 1;
-      settled[service] = group->Primary()->id;
+      primaries[service] = group->Primary()->id;
     }
-    cluster.Surroundings().RunUntil(kBeforeTraffic * 3);
+    cluster.SimWorld().RunUntil(kBeforeTraffic * 3);
     for (const auto& [service, group] : cluster.Groups()) {
-      CHECK(group->Primary()->id == settled[service]);
+      CHECK(group->Primary()->id == primaries[service]);
     }
-    CHECK(cluster.Surroundings().Violations().empty());
+    CHECK(cluster.SimWorld().Violations().empty());
   }
   CHECK(replaced > 0);
 }
@@ -352,7 +352,7 @@
   shape.groups = 1;
   shape.group.instances = 6;  // so that both regions have some
   Cluster cluster(1, shape);
-  World& world = cluster.Surroundings();
+  World& world = cluster.SimWorld();
   world.RunUntil(std::chrono::seconds(4));
   // One replica stands in the region, and it lacks a commit of the primary outside.
   DatabaseGroup& group = *cluster.Groups().at("group0");
@@ -360,8 +360,8 @@
   const std::string outside = cluster.Regions().at(cluster.ZoneOfInstance(primary));
   std::size_t inside = 0;
   for (auto& [id, instance] : group.Instances()) {
-    instance.deaf = cluster.Regions().at(cluster.ZoneOfInstance(id)) != outside;
-    inside += instance.deaf ? 1 : 0;
+    instance.replication_blocked = cluster.Regions().at(cluster.ZoneOfInstance(id)) != outside;
+    inside += instance.replication_blocked ? 1 : 0;
   }
   REQUIRE(inside > 0);
   Callers callers(cluster, 10);
@@ -387,7 +387,7 @@
   shape.regions = 2;
   shape.groups = 1;
   Cluster cluster(1, shape);
-  World& world = cluster.Surroundings();
+  World& world = cluster.SimWorld();
   world.RunUntil(std::chrono::seconds(4));
   DatabaseGroup& group = *cluster.Groups().at("group0");
   const std::string home = cluster.Regions().at(cluster.ZoneOfInstance(group.Primary()->id));
--- a/tests/proxysim/store_restore_test.cc
+++ b/tests/proxysim/store_restore_test.cc
@@ -29,26 +29,26 @@
 
 /// Writes three versions, then the store goes away and returns from a copy in which they are
 /// missing.
-void LoseVersions(Cluster& cluster, common::Duration away) {
-  World& world = cluster.Surroundings();
+void LoseVersions(Cluster& cluster, common::Duration outage) {
+  World& world = cluster.SimWorld();
   world.RunUntil(seconds(12));
   for (int version = 0; version < 3; ++version) {
     cluster.ChangeConfiguration();
     world.RunUntil(world.Now() + milliseconds(700));
   }
-  world.NoteTrouble(kStore);
-  cluster.Store().faults.silent = true;
-  world.RunUntil(world.Now() + away);
-  world.NoteTrouble(kStore);
+  world.RecordFault(kStore);
+  cluster.Store().faults.unresponsive = true;
+  world.RunUntil(world.Now() + outage);
+  world.RecordFault(kStore);
   cluster.Store().faults = StoreFaults{};
-  cluster.Store().Restore(away + seconds(5));
+  cluster.Store().Restore(outage + seconds(5));
 }
 
-std::size_t Behind(Cluster& cluster) {
+std::size_t CountOutdated(Cluster& cluster) {
   const std::uint64_t newest = cluster.CurrentConfiguration().version;
   return static_cast<std::size_t>(
       std::count_if(cluster.Daemons().begin(), cluster.Daemons().end(), [&](const auto& daemon) {
-        return daemon->Decisions()->CatalogView().Configuration().version < newest;
+        return daemon->Proxy()->CatalogView().Configuration().version < newest;
       }));
 }
 
@@ -57,16 +57,16 @@
 TEST_CASE("Versions written after the store returned from an older copy are in force in time",
           "[proxysim]") {
   for (const std::size_t daemons : {6U, 67U}) {
-    for (const auto away : {milliseconds(100), milliseconds(700), milliseconds(2'900)}) {
+    for (const auto outage : {milliseconds(100), milliseconds(700), milliseconds(2'900)}) {
       for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         Cluster cluster(seed, ShapeOf(daemons));
-        LoseVersions(cluster, away);
-        World& world = cluster.Surroundings();
+        LoseVersions(cluster, outage);
+        World& world = cluster.SimWorld();
         world.RunUntil(world.Now() + seconds(5));
         cluster.ChangeConfiguration();
         world.RunUntil(world.Now() + kConfigurationLimit);
-        INFO(daemons << " daemons, away for " << away.count() << " ms, seed " << seed);
-        CHECK(Behind(cluster) == 0);
+        INFO(daemons << " daemons, away for " << outage.count() << " ms, seed " << seed);
+        CHECK(CountOutdated(cluster) == 0);
       }
     }
   }
@@ -74,7 +74,7 @@
 
 namespace {
 
-ScenarioResult DayOfRestores(std::uint64_t seed) {
+ScenarioResult RunWithRestores(std::uint64_t seed) {
   ScenarioOptions options;
   options.seed = seed;
   options.faults = 0;
@@ -93,7 +93,7 @@
 TEST_CASE("No version is missed whose revision the store gives out a second time", "[proxysim]") {
   for (const std::uint64_t seed : {6U, 24U, 110U}) {
     INFO("seed " << seed);
-    CHECK(Count(DayOfRestores(seed), "CONFIG") == 0);
+    CHECK(Count(RunWithRestores(seed), "CONFIG") == 0);
   }
 }
 
@@ -103,7 +103,7 @@
   options.seed = 4019;
   options.store_restores = true;
   options.evacuations = true;
-  options.anew = true;
+  options.restart_empty = true;
   CHECK(Count(RunScenario(options), "EVAC") == 0);
 }
 
@@ -113,7 +113,7 @@
   // holder counted on from there ("ONE: two holders of token 1").
   for (const std::uint64_t seed : {28U, 38U, 58U, 82U}) {
     INFO("seed " << seed);
-    CHECK(Count(DayOfRestores(seed), "ONE") == 0);
+    CHECK(Count(RunWithRestores(seed), "ONE") == 0);
   }
 }
 
--- a/tests/proxysim/warm_up_test.cc
+++ b/tests/proxysim/warm_up_test.cc
@@ -14,7 +14,7 @@
   ClusterShape shape;
   shape.groups = 1;
   shape.group.warm_up = {std::chrono::seconds(6), 8};
-  shape.group.tolerated = {1.5, 5};
+  shape.group.tolerance = {1.5, 5};
   return shape;
 }
 
@@ -35,7 +35,7 @@
   }
 
   void Run(common::Duration time) {
-    World& world = cluster.Surroundings();
+    World& world = cluster.SimWorld();
     world.RunUntil(world.Now() + time);
   }
 
@@ -61,7 +61,7 @@
   // It stays so when the former primary is warm.
   cold.Run(std::chrono::seconds(12));
   CHECK(cold.Group().Primary()->term == term + 1);
-  CHECK(cold.cluster.Surroundings().Violations().empty());
+  CHECK(cold.cluster.SimWorld().Violations().empty());
 }
 
 TEST_CASE("A cold primary among cold replicas stays", "[proxysim][warm_up]") {
@@ -80,7 +80,7 @@
   CHECK(cold.Group().Primary()->term == term);
   CHECK(cold.Group().Primary()->id == primary);
   CHECK(cold.reasons.empty());
-  CHECK(cold.cluster.Surroundings().Violations().empty());
+  CHECK(cold.cluster.SimWorld().Violations().empty());
   const SecondSummary& last = cold.callers->Seconds().at(18);
   CHECK(last.succeeded * 10 >= last.begun * 9);
 }
