--- a/src/proxysim/answer_checker.h
+++ b/src/proxysim/answer_checker.h
@@ -1,11 +1,12 @@
-// Checks that beside planned stops alone each command that a daemon has taken is answered or
-// refused before its session is closed (UNANSWERED).
+// Checks that every command read by a daemon is answered or refused before its session is closed,
+// if planned stops are the only disturbance (rule UNANSWERED).
 //
-// A command counts as taken once the daemon to which the caller is connected has read it, whichever
-// daemon serves its session. Nothing is said of commands whose daemons, instances or store were in
-// trouble that was not planned.
+// A command counts as read once the daemon to which the caller is connected has read it, whichever
+// daemon serves its session. Commands whose daemons, instances or store have had an unplanned fault
+// are exempt.
 //
-// Owns: when a daemon was last told to stop. Invariant: reports no command twice. Thread: one.
+// Owns: the time of the last planned stop. Invariant: no command is reported twice. Not
+// thread-safe.
 #pragma once
 
 #include <string>
@@ -15,26 +16,26 @@
 
 namespace valvekeel::proxysim {
 
-/// A command whose session was closed before its answer.
+/// A command whose session was closed before it was answered.
 struct UnansweredCommand {
-  std::string what;                  // the command, and who cut it off
-  std::vector<std::string> parties;  // on whom its answer depended
+  std::string what;                  // the command, and why its session was closed
+  std::vector<std::string> parties;  // daemons, groups and store on which the answer depended
 };
 
 class AnswerChecker {
  public:
   explicit AnswerChecker(World& world) : world_(world) {}
 
-  /// Some daemon was told to stop.
+  /// A daemon received a stop signal.
   void OnPlannedStop() { last_stop_ = world_.Now(); }
 
-  /// A session was closed with a command unanswered.
+  /// A session was closed with an unanswered command. Reports it unless it is exempt.
   void OnUnanswered(const UnansweredCommand& command);
 
  private:
-  /// The time of a stop, and then a while in which callers and other daemons notice it.
+  /// Duration of a stop, and of the time until callers and other daemons notice it.
   static constexpr common::Duration kStopEffectTime{7'000'000};
-  /// Within which trouble that was not planned may still be felt.
+  /// Time after an unplanned fault during which it may still have effects.
   static constexpr common::Duration kFaultEffectTime{5'000'000};
 
   World& world_;
--- a/src/proxysim/callers.h
+++ b/src/proxysim/callers.h
@@ -1,8 +1,8 @@
-// Simulated callers: sessions that read, write and run transactions, and try again as they may.
+// Simulated callers: sessions that read, write, run transactions, and retry where that is safe.
 //
-// Owns: the sessions. Invariant: a caller has one command outstanding at most; an operation is
-// tried again with a new id, and only after a promise or if nothing that commits was sent. Thread:
-// one.
+// Owns: the sessions. Invariant: a caller has at most one command outstanding; a retry has a new
+// request id, and happens only if the error guarantees that the attempt has no effect or if nothing
+// that commits was sent. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace valvekeel::proxysim {
 
-/// What happened to operations that began in one second.
+/// Counts of the operations that began in one second.
 struct SecondSummary {
   std::size_t begun = 0;
   std::size_t succeeded = 0;
@@ -23,22 +23,22 @@
 
 class Callers {
  public:
-  /// @param sessions number of callers at once.
+  /// @param sessions number of concurrent callers.
   Callers(Cluster& cluster, std::size_t sessions);
 
-  /// Lets the callers begin no further operations from this time on.
+  /// From this time on callers begin no further operations.
   void StopAt(common::Instant time) { stop_at_ = time; }
 
   const std::vector<SecondSummary>& Seconds() const { return seconds_; }
 
-  /// @return the longest time in which no write of the service succeeded, within a span.
+  /// @return the longest time without a successful write of the service between the two times.
   common::Duration LongestWriteGap(const std::string& service, common::Instant from,
                                    common::Instant to) const;
 
  private:
   struct Caller;
 
-  /// @return one of the keys in force; empty where keys are not used.
+  /// @return a random key that is in force; empty if keys are not used.
   std::string ChooseKey();
   /// @return the daemon for a new connection.
   DaemonHost& ChooseDaemon();
@@ -54,7 +54,7 @@
   SecondSummary& SummaryAt(common::Instant at);
 
   Cluster& cluster_;
-  std::unique_ptr<LoadBalancer> balancer_;  // null: callers know at once who is ready
+  std::unique_ptr<LoadBalancer> balancer_;  // null: callers see at once which daemons are ready
   std::vector<std::shared_ptr<Caller>> callers_;
   std::vector<SecondSummary> seconds_;
   std::map<std::string, std::vector<common::Instant>> writes_;  // successes by service
--- a/src/proxysim/cluster.h
+++ b/src/proxysim/cluster.h
@@ -1,7 +1,7 @@
-// A whole simulated deployment: daemons, groups, store, promotion service.
+// A complete simulated deployment: daemons, database groups, store and promotion service.
 //
-// Owns: all of them. Invariant: promotions carry tokens that never fall, and one token belongs to
-// one holder; else ONE is reported. Thread: one.
+// Owns: all of them. Invariant: the tokens of promotions never decrease, and a token belongs to one
+// holder; otherwise the rule ONE is reported. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -22,26 +22,27 @@
 
 namespace valvekeel::proxysim {
 
-/// The store's name, as a party that others reach or not.
+/// The store's name in the simulated network.
 inline constexpr const char* kStore = "store";
 
-/// Size and figures of a deployment.
+/// Size and settings of a deployment.
 struct ClusterShape {
   std::size_t daemons = 6;
   std::size_t zones = 3;
-  std::size_t regions = 0;  // over which the zones are spread; 0: regions are not told
+  std::size_t regions = 0;  // over which the zones are spread; 0: regions are not configured
   std::size_t groups = 3;
   GroupShape group;
   proxy::Mechanisms mechanisms;
   relay::role_policy roles;
   std::size_t tenants = 0;               // 0: callers need no keys
-  tenants::tenant_policy tenancy;        // in force if there are tenants
+  tenants::tenant_policy tenancy;        // applies if there are tenants
   common::Duration evacuation_limit{0};  // 0: no zone is evacuated
-  bool first_start = false;              // of the whole deployment
-  bool use_load_balancer = false;        // callers are sent by a balancer, which notices late
-  bool record_load = false;              // the daemons' load, to be replayed
-  bool encode_messages = false;          // the bytes of heartbeats are counted
-  bool check_configuration = false;      // reports who has a version in force too late
+  bool first_start = false;              // the whole deployment starts for the first time
+  bool use_load_balancer =
+      false;                 // callers connect through a load balancer, which detects stops late
+  bool record_load = false;  // records the daemons' load for replay
+  bool encode_messages = false;      // encodes heartbeats to count their bytes
+  bool check_configuration = false;  // reports daemons that apply a version too late
 };
 
 class Cluster {
@@ -64,35 +65,35 @@
 
   const KeyHistory& Keys() const { return keys_; }
 
-  /// Gives a key to a tenant, or takes it away, by a further version of the configuration.
+  /// Assigns a key to a tenant in a new version of the configuration. @param tenant empty: revoked.
   void ChangeKey(const std::string& key, const std::string& tenant);
 
-  /// Writes a further version of the configuration.
+  /// Writes a new version of the configuration with the same contents.
   void ChangeConfiguration();
 
-  /// An operator evacuates a zone, or takes that back.
+  /// An operator evacuates a zone, or ends its evacuation.
   void Evacuate(const std::string& zone);
   void EndEvacuation(const std::string& zone);
   bool IsEvacuated(const std::string& zone) const { return evacuations_.IsEvacuated(zone); }
-  /// Limits a route's or a tenant's work to regions, by a further version of the configuration.
+  /// Limits a route's or a tenant's work to regions in a new version of the configuration.
   void LimitRoute(const std::string& database, const std::vector<std::string>& regions);
   void LimitTenant(const std::string& tenant, const std::vector<std::string>& regions);
 
-  /// @return the region of each zone; empty where regions are not told.
+  /// @return the region of each zone; empty if regions are not configured.
   std::map<std::string, std::string> Regions() const;
 
-  /// @return the zone where an instance stands.
+  /// @return the zone of an instance.
   std::string ZoneOfInstance(const std::string& instance) const;
 
-  /// Reports HOME if a daemon has sent an attempt to a zone where it may not be.
-  /// @param what is done with it there
+  /// Reports HOME if a daemon has sent an attempt to a zone in which it is not allowed.
+  /// @param what is done with it there: "run" or "held"
   void CheckRegion(const CallerAttempt& attempt, const std::string& zone, const char* what,
                    const std::string& daemon);
 
-  /// Writes an instance's entry as it would itself.
+  /// Writes an instance's entry to the store, as the instance itself would.
   void WriteInstanceEntry(const DatabaseGroup& group, const SimulatedInstance& instance);
 
-  /// A daemon asks the platform to promote.
+  /// A daemon requests a promotion from the platform. Passes kNoAnswer if it is not answered.
   void Promote(const std::string& daemon, const proxy::Promote& promotion,
                const std::function<void(failover::PromotionStatus)>& handler);
 
@@ -106,7 +107,7 @@
   void CreateTenants();
   void RecordDisturbances();
   void CheckConfigurations();
-  /// @return true if the daemon serves, undisturbed, and reaches the store both ways.
+  /// @return true if the daemon runs normally and its link to the store is open in both directions.
   bool RunsAndReachesStore(const DaemonHost& daemon) const;
   DaemonHost* DaemonNamed(const std::string& name);
 
@@ -125,7 +126,7 @@
   std::uint64_t highest_token_ = 0;
   std::uint64_t entry_writes_ = 0;
   std::map<std::uint64_t, std::string> token_holders_;
-  std::map<std::string, std::string> written_states_;  // last state by instance
+  std::map<std::string, std::string> written_states_;  // last state of each instance's entry
 };
 
 /// @return the name of a zone.
--- a/src/proxysim/cold_request_counter.h
+++ b/src/proxysim/cold_request_counter.h
@@ -1,7 +1,7 @@
-// Callers' requests that reach instances which have just started: the checker FAILBACK.
+// Counts callers' requests to instances that are warming up, for the rule FAILBACK.
 //
-// Owns: the arrivals of the last second, by instance. Invariant: none older than that is counted.
-// Thread: one.
+// Owns: the arrival times of the last second, by instance. Invariant: older ones are not counted.
+// Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 class ColdRequestCounter {
  public:
-  /// Notes a caller's request at a cold instance. @return how many came within the last second.
+  /// Records a caller's request to a cold instance. @return the number within the last second.
   std::size_t RecordRequest(const std::string& instance, common::Instant now) {
     std::deque<common::Instant>& arrivals = arrivals_[instance];
     arrivals.push_back(now);
--- a/src/proxysim/configuration_monitor.h
+++ b/src/proxysim/configuration_monitor.h
@@ -1,11 +1,12 @@
-// Checks that each configuration is in force in time at all daemons in touch (CONFIG).
+// Checks that every undisturbed daemon applies each configuration in time (rule CONFIG).
 //
-// A daemon is bound while it was undisturbed for the time of contact: alive, not frozen or
-// stopping, in reach of the store both ways, and the store without faults. Whoever was disturbed
-// may be late.
+// The limit applies to a daemon that has been undisturbed for kUndisturbedTime: alive, not frozen
+// or stopping, connected to the store in both directions, and the store without faults. Other
+// daemons may be late.
 //
-// Owns: when versions were acknowledged, and when daemons and store were last disturbed. Invariant:
-// looks each kLookInterval, less than any fault lasts. Thread: one.
+// Owns: the times at which versions were acknowledged and at which daemons and store were last
+// disturbed. Invariant: it checks every kCheckInterval, which is shorter than any fault. Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 
 namespace valvekeel::proxysim {
 
-/// From a version's acknowledgement until it is in force everywhere.
+/// Maximum time from a version's acknowledgement until it is in force at all daemons.
 inline constexpr common::Duration kConfigurationLimit{5'000'000};
 
 class ConfigurationMonitor {
@@ -31,10 +32,11 @@
   void RecordDaemonDisturbance(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
   void RecordStoreDisturbance() { store_disturbed_ = world_.Now(); }
 
-  /// The store has taken a version.
+  /// The store has acknowledged a version.
   void OnWritten(std::uint64_t version) { written_[version] = world_.Now(); }
 
-  /// Holds the version in force at a daemon against what was acknowledged. Reports it once.
+  /// Compares the version in force at a daemon with the acknowledged ones. Reports a missing
+  /// version once.
   void Check(const std::string& daemon, std::uint64_t in_force);
 
  private:
--- a/src/proxysim/daemon_host.h
+++ b/src/proxysim/daemon_host.h
@@ -1,7 +1,7 @@
-// Hosts one daemon's decision code in the simulation.
+// Hosts one daemon's proxy::Proxy in the simulation.
 //
-// Owns: the Proxy of the daemon's present life. Invariant: answers meant for an earlier life are
-// dropped; while frozen, events wait and are delivered after the thaw. Thread: one.
+// Owns: the Proxy of the daemon's current incarnation. Invariant: answers to an earlier incarnation
+// are dropped; events for a frozen daemon are queued and delivered when it thaws. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -22,12 +22,12 @@
 class Cluster;
 class DaemonHost;
 
-/// Takes what a daemon sends to a caller.
+/// Callbacks for what a daemon sends to a caller.
 struct CallerCallbacks {
   std::function<void(const model::Reply&)> answer;
   std::function<void()> accepted;
   std::function<void()> closed;
-  std::function<void()> end_requested;  // of sessions handed over
+  std::function<void()> end_requested;  // end request, of sessions handed over
 };
 
 /// A caller's first message.
@@ -36,7 +36,7 @@
   std::string key;
 };
 
-/// A command that a daemon has read.
+/// A command that a daemon has read and not yet answered.
 struct PendingCommand {
   std::string id;
   common::Instant at{0};
@@ -45,22 +45,22 @@
 /// A connection that a daemon has accepted.
 struct CallerConnection {
   CallerCallbacks callbacks;
-  bool is_direct = false;                 // else another daemon's, of a relayed session
+  bool is_direct = false;                 // false: from another daemon, for a relayed session
   std::deque<PendingCommand> unanswered;  // of direct callers
-  std::string owner;                      // newest that the session was handed to
+  std::string owner;                      // daemon to which the session was last handed over
 };
 
-/// What a daemon has sent over all its lives.
+/// What a daemon has sent over all its incarnations.
 struct TrafficCounters {
   std::size_t messages = 0;         // heartbeats
-  std::size_t bytes = 0;            // of these, if they are encoded
-  std::size_t largest_message = 0;  // bytes of the largest of them
+  std::size_t bytes = 0;            // of the heartbeats, if they are encoded
+  std::size_t largest_message = 0;  // bytes of the largest heartbeat
   std::size_t store_calls = 0;      // of any kind
 };
 
 /// A session that another daemon serves.
 ///
-/// What is sent on it one way arrives in order.
+/// Messages in one direction arrive in order.
 struct RelayLink {
   struct Arrivals {
     common::Instant at_owner{0};
@@ -69,7 +69,7 @@
   DaemonHost* owner = nullptr;
   std::uint64_t owner_incarnation = 0;
   proxy::SessionNumber owner_session = 0;
-  std::uint64_t epoch = 0;  // told apart from earlier links of the session
+  std::uint64_t epoch = 0;  // distinguishes it from earlier links of the session
   std::shared_ptr<Arrivals> last_arrivals = std::make_shared<Arrivals>();
 };
 
@@ -78,7 +78,7 @@
   DaemonHost(Cluster& cluster, std::string name, std::string zone, common::Endpoint address);
 
   void Start();
-  /// Ends the process, unplanned.
+  /// Ends the process without a stop signal.
   void Kill();
   void Stop();
   void Freeze();
@@ -86,54 +86,55 @@
 
   bool Alive() const { return proxy_ != nullptr; }
   bool Ready() const { return Alive() && ready_; }
-  /// @return true if it runs, and was not told to stop.
+  /// @return true if the process is running, not frozen, and has received no stop signal.
   bool IsOperating() const { return Alive() && !frozen_ && !stopping_; }
   const std::string& Name() const { return name_; }
   const std::string& Zone() const { return zone_; }
   const common::Endpoint& Address() const { return address_; }
   proxy::Proxy* Proxy() { return proxy_.get(); }
   const TrafficCounters& Traffic() const { return traffic_; }
-  /// @return the load over all lives, if it is recorded.
+  /// @return the load over all incarnations, if it is recorded.
   const waiting::trace_recorder& Load() const { return load_; }
 
   // Callers.
   void OpenSession(proxy::SessionNumber number, const SessionStart& start,
                    CallerCallbacks callbacks);
-  /// Takes a session that another daemon hands over.
+  /// Accepts a session that another daemon hands over.
   void AcceptHandover(proxy::SessionNumber number, const SessionStart& start,
                       const proxy::SessionOrigin& origin, CallerCallbacks callbacks);
   void Command(proxy::SessionNumber number, const proxy::CallerCommand& command);
   void CloseSession(proxy::SessionNumber number);
 
-  /// Delivers an event to this life, now or after a thaw.
+  /// Delivers an event to an incarnation, now or after the daemon thaws; drops it if that has
+  /// ended.
   void Deliver(std::uint64_t incarnation, std::function<void()> event);
   std::uint64_t Incarnation() const { return incarnation_; }
 
  private:
-  /// @return false if the process is about to end and reads nothing more.
+  /// @return false if the process is about to end and reads no further input.
   bool AcceptsInput() const;
-  /// The process ends.
+  /// Ends the process: connections are reset and sessions are closed.
   void EndProcess();
   void Accept(proxy::SessionNumber number, const SessionStart& start,
               const proxy::SessionOrigin& origin, CallerConnection caller);
   void Answer(proxy::SessionNumber number, const model::Reply& reply);
-  /// Tells the checker of commands that the end of their connection cuts off.
+  /// Passes the commands left unanswered when their connection is closed to the checker.
   void ReportUnanswered(const CallerConnection& caller, const std::string& how);
-  /// Checks that an owner may hold a caller's request.
+  /// Checks that a caller's request is allowed in the owner's region.
   void CheckOwnerRegion(const DaemonHost& owner, const std::string& request_id);
-  /// Gives a relayed session's owner an event after the network's delay, if it is reached.
+  /// Delivers an event to a relayed session's owner after the network delay, if it is reachable.
   void SendToOwner(const RelayLink& link, std::function<void(DaemonHost& owner)> event);
-  /// @return the port over which an owner answers to a relayed session of this daemon.
+  /// @return the callbacks through which an owner answers a relayed session of this daemon.
   CallerCallbacks RelayCallbacks(proxy::SessionNumber number, const RelayLink& link);
-  /// Takes what an owner sends, after the network's delay, as long as the link stands.
+  /// Handles what an owner sends, after the network delay, if the link still exists.
   void ReceiveFromOwner(proxy::SessionNumber number, const RelayLink& link,
                         std::function<void()> event);
-  /// @return the connection's number at the instances, unlike that of any other daemon or life.
+  /// @return the connection's number at the instances, unique over all daemons and incarnations.
   std::uint64_t ConnectionKey(proxy::ConnectionNumber number) const;
   void Tick(std::uint64_t incarnation);
   void PerformActions();
-  /// Holds callers' statements that are sent to an instance against the regions in force here: by
-  /// the time that they run this daemon may know a newer configuration.
+  /// Checks callers' statements when they are sent to an instance against the regions then in force
+  /// at this daemon: it may have a newer configuration by the time they run.
   void CheckRegions(const std::string& instance,
                     const std::vector<model::InstanceRequest>& requests);
   void Perform(const proxy::OpenConnection& action);
@@ -169,13 +170,13 @@
   bool stopping_ = false;
   bool ready_ = false;
   bool performing_ = false;
-  bool exiting_ = false;  // the decision to end has been made
+  bool exiting_ = false;  // the Proxy has decided to end the process
   common::Instant stop_signal_at_{0};
   common::Instant exit_decided_at_{0};
-  std::string relay_lost_reason_;                     // of the relayed session that was lost last
-  std::deque<std::function<void()>> pending_events_;  // while frozen
+  std::string relay_lost_reason_;                     // of the last lost relayed session
+  std::deque<std::function<void()>> pending_events_;  // received while frozen
   std::map<proxy::SessionNumber, CallerConnection> callers_;
-  std::map<proxy::SessionNumber, SessionStart> session_starts_;  // of the callers' sessions
+  std::map<proxy::SessionNumber, SessionStart> session_starts_;  // by session of a caller
   std::map<proxy::SessionNumber, RelayLink> relays_;
   std::uint64_t next_epoch_ = 1;
   std::map<proxy::ConnectionNumber, std::string> connections_;  // instance by connection
--- a/src/proxysim/database_group.h
+++ b/src/proxysim/database_group.h
@@ -1,7 +1,7 @@
 // A simulated group of instances with a replicated log, fences, demotion and promotion.
 //
-// Owns: the instances, their logs and their connections. Invariant: positions of a log grow by one;
-// two logs with the same entry at a position agree on all before it. Thread: one.
+// Owns: the instances, their logs and their connections. Invariant: positions of a log increase by
+// one; two logs with the same entry at a position agree on all entries before it. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -27,25 +27,25 @@
 /// A commit in a log.
 struct LogEntry {
   common::Term term = 0;
-  std::string id;  // of the caller's attempt
+  std::string id;  // request id of the caller's attempt
 };
 
-/// Time from a key's removal until no daemon may serve it.
+/// Maximum time from a key's removal until no daemon serves it any more.
 inline constexpr common::Duration kRevocationLimit{5'000'000};
 
-/// One connection as its instance sees it.
+/// The instance's side of a connection.
 struct ServerConnection {
   std::string daemon;
-  std::string tenant;                               // that the connection was opened for
-  std::function<void(const model::Reply&)> answer;  // carries a reply back to the daemon
-  std::function<void()> reset;                      // tells the daemon that it is gone
+  std::string tenant;                               // for which the connection was opened
+  std::function<void(const model::Reply&)> answer;  // sends a reply to the daemon
+  std::function<void()> reset;  // reports to the daemon that the connection is closed
   std::map<std::string, std::string> values;
   std::map<std::string, model::PreparedStatement> prepared;
   model::TransactionState state = model::TransactionState::kIdle;
   bool read_only = false;
   bool began_as_primary = false;
   std::uint64_t session = 0;  // of the transaction
-  std::string writer;         // attempt that wrote in the transaction, empty if none
+  std::string writer;  // request id of the attempt that wrote in the transaction, empty if none
   std::deque<model::InstanceRequest> queue;
   bool busy = false;
 };
@@ -58,13 +58,13 @@
   common::Term term = 1;
   common::Term fenced_term = 0;
   std::vector<LogEntry> log;
-  std::size_t applied = 0;  // entries that reads see
+  std::size_t applied = 0;  // number of entries visible to reads
   common::Duration lag{8'000};
-  bool replication_blocked = false;  // receives nothing
+  bool replication_blocked = false;  // receives no log entries
   std::map<std::uint64_t, ServerConnection> connections;
   std::size_t running_requests = 0;
   common::Instant cold_until{0};
-  std::uint64_t incarnation = 1;  // of its present life
+  std::uint64_t incarnation = 1;  // increases when it restarts without its data
 };
 
 /// Limits of a simulated group.
@@ -75,9 +75,9 @@
   std::size_t max_connections = 34;
   std::uint32_t sync_replicas = 1;
   common::Duration promotion_time{300'000};
-  model::WarmUp warm_up;         // of instances that start while the day runs; off by default
-  warm_up::tolerance tolerance;  // beyond its rate
-  /// A primary that comes back sends its log to replicas at once; else with its next commit.
+  model::WarmUp warm_up;         // of instances that start during the run; off by default
+  warm_up::tolerance tolerance;  // requests allowed beyond the warm-up rate
+  /// A restarted primary sends its log to the replicas at once; otherwise with its next commit.
   bool sends_log_at_restart = false;
 };
 
@@ -90,38 +90,39 @@
   std::map<std::string, SimulatedInstance>& Instances() { return instances_; }
   SimulatedInstance* Primary();
 
-  /// Opens a connection. @return the reason if it is not taken.
+  /// Opens a connection. @return the error if it is rejected.
   std::optional<model::ErrorCode> Connect(const std::string& instance, std::uint64_t number,
                                           ServerConnection connection);
   void Disconnect(const std::string& instance, std::uint64_t number);
   void Request(const std::string& instance, std::uint64_t number,
                const model::InstanceRequest& request);
 
-  /// Makes the instance lead the next term after a while. @return false if it does not run.
+  /// Makes the instance the primary of the next term after promotion_time. @return false if it is
+  /// not running.
   bool Promote(const std::string& instance);
 
   void Crash(const std::string& instance, bool silent);
   void Restart(const std::string& instance);
 
-  /// An instance starts again under its id, with nothing of before. @param leads it takes itself
-  /// for the primary of the term that it was started with, else for a replica.
+  /// Restarts an instance under its id without its data. @param leads it starts as the primary of
+  /// its former term, otherwise as a replica.
   void RestartEmpty(const std::string& instance, bool leads);
 
-  /// A crashed instance comes back with its log under another id.
+  /// Restarts a crashed instance with its log under another id.
   void RestartRenamed(const std::string& instance, const std::string& id);
   void AddReplica(const std::string& id);
   void RemoveInstance(const std::string& id);
 
-  /// Part of the answers of the primary that are lost from now on.
+  /// Sets the share of the primary's answers that are lost from now on.
   void SetLostAnswerShare(double share) {
     world_.RecordFault(service_);
     lost_answers_ = share;
   }
 
-  /// Told when the list of instances or what they say of themselves changes.
-  const KeyHistory* keys = nullptr;  // checked against, if set
+  const KeyHistory* keys = nullptr;  // against which keys are checked, if set
+  /// Called when the set of instances or the state that they report changes.
   std::function<void()> on_change;
-  /// Told of each of the callers' requests that arrives, if set.
+  /// Called for each caller's request that arrives, if set.
   std::function<void(const std::string& instance, const std::string& daemon)> on_request;
 
  private:
@@ -132,9 +133,9 @@
     std::string instance;
   };
 
-  /// The instance starts now.
+  /// Begins the warm-up of an instance that starts now.
   void StartWarmUp(SimulatedInstance& instance);
-  /// Checks how many callers' requests a cold instance gets.
+  /// Checks the number of callers' requests that a cold instance receives (FAILBACK).
   void CheckWarmUpLimit(const SimulatedInstance& instance, const model::InstanceRequest& request);
   void RunNext(SimulatedInstance& instance, std::uint64_t number);
   void Execute(const std::string& instance, std::uint64_t number,
@@ -146,7 +147,8 @@
                               const model::SessionRequest& request);
   void CheckConnection(const SimulatedInstance& instance, const ServerConnection& connection,
                        const CallerAttempt& attempt);
-  /// Checks that the connection's tenant has, or had not long ago, the caller's key.
+  /// Checks that the caller's key belongs to the connection's tenant, or did within
+  /// kRevocationLimit.
   void CheckKey(const ServerConnection& connection, const CallerAttempt& attempt);
   void CheckRead(const SimulatedInstance& instance, const CallerAttempt& attempt);
   void Commit(SimulatedInstance& instance, std::uint64_t number, const std::string& id);
--- a/src/proxysim/evacuation_monitor.h
+++ b/src/proxysim/evacuation_monitor.h
@@ -1,11 +1,11 @@
-// Checks that no work reaches an evacuated zone later than the limit allows (EVAC).
+// Checks that no request reaches an evacuated zone after the evacuation limit (rule EVAC).
 //
-// A daemon is bound while it was undisturbed for the time of contact: alive, not frozen or
-// stopping, in reach of the store both ways, and the store without faults. Whoever was disturbed
-// may be late.
+// The limit applies to a daemon that has been undisturbed for kUndisturbedTime: alive, not frozen
+// or stopping, connected to the store in both directions, and the store without faults. Other
+// daemons may be late.
 //
-// Owns: the evacuations, and when daemons and store were last disturbed. Invariant: looks each
-// kLookInterval, less than any fault lasts. Thread: one.
+// Owns: the evacuations, and the times at which daemons and store were last disturbed. Invariant:
+// it checks every kCheckInterval, which is shorter than any fault. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace valvekeel::proxysim {
 
-/// From an evacuation's acknowledgement until nothing may reach the zone.
+/// Time from an evacuation's acknowledgement after which no request may reach the zone.
 inline constexpr common::Duration kEvacuationLimit{5'000'000};
 
 class EvacuationMonitor {
@@ -29,14 +29,14 @@
   void RecordDaemonDisturbance(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
   void RecordStoreDisturbance() { store_disturbed_ = world_.Now(); }
 
-  /// The store has taken an evacuation, or its end.
+  /// The store has acknowledged an evacuation, or its end.
   void OnEvacuationStarted(const std::string& zone) {
     evacuated_since_.emplace(zone, world_.Now());
   }
   void OnEvacuationEnded(const std::string& zone) { evacuated_since_.erase(zone); }
   bool IsEvacuated(const std::string& zone) const { return evacuated_since_.contains(zone); }
 
-  /// Work of callers has reached an instance of the zone.
+  /// A caller's request has reached an instance of the zone. Reports it if it is too late.
   void OnRequestArrived(const std::string& zone, const std::string& instance,
                         const std::string& daemon);
 
--- a/src/proxysim/history.h
+++ b/src/proxysim/history.h
@@ -1,7 +1,7 @@
-// What callers were told, held against what the instances hold: the checkers of the simulator.
+// Compares the answers that callers received with the commits that the instances made.
 //
 // Owns: the attempts of all callers and the acknowledged commits. Invariant: an attempt is answered
-// once. Thread: one.
+// once. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace valvekeel::proxysim {
 
-/// One try of a caller's operation, named by its request id.
+/// One attempt of a caller's operation, identified by its request id.
 struct CallerAttempt {
   std::string id;
   std::uint64_t session = 0;
@@ -26,16 +26,16 @@
   model::Consistency consistency = model::Consistency::kPrimary;
   common::Duration max_staleness{0};
   common::Instant began{0};
-  common::Instant sent{0};  // of the newest statement
-  std::string key;          // of the caller, empty where keys are not used
+  common::Instant sent{0};  // time of the last statement
+  std::string key;          // of the caller, empty if keys are not used
   bool in_transaction = false;
-  std::map<std::string, std::string> values;  // acknowledged to the session
-  bool committed = false;                     // some instance committed it
-  bool refused = false;                       // the caller was promised that nothing is kept
+  std::map<std::string, std::string> values;  // session values that were acknowledged
+  bool committed = false;                     // an instance committed it
+  bool refused = false;  // the error guaranteed the caller that it has no effect
   bool acknowledged = false;
 };
 
-/// A commit that its caller knows of.
+/// A commit that was acknowledged to its caller.
 struct AcknowledgedCommit {
   common::Instant at{0};
   common::Position position;
@@ -50,18 +50,18 @@
   CallerAttempt& Begin(CallerAttempt attempt);
   CallerAttempt* Find(const std::string& id);
 
-  /// An instance has committed the attempt. @return false if that happened before (TWICE).
+  /// An instance has committed the attempt. @return false if it was committed before (TWICE).
   bool OnCommitted(const std::string& id);
 
-  /// A commit was taken back by a promotion.
+  /// A commit was rolled back after a promotion.
   void OnRolledBack(const std::string& id);
 
   void OnAcknowledged(const std::string& id, const common::Position& position);
-  /// A promotion has taken an acknowledged commit back: readers need not see it any more.
+  /// A promotion has lost an acknowledged commit: reads no longer need to see it.
   void RemoveAcknowledged(const std::string& service, const std::string& id);
   void OnRefused(const std::string& id);
 
-  /// @return the highest acknowledged commits that a read must see.
+  /// @return the acknowledged commits that a read must see, in order of time.
   std::vector<AcknowledgedCommit> RequiredCommits(const CallerAttempt& reader) const;
 
   const std::vector<AcknowledgedCommit>& AcknowledgedOf(const std::string& service) const;
@@ -72,7 +72,8 @@
  private:
   World& world_;
   std::map<std::string, CallerAttempt> attempts_;
-  std::map<std::string, std::vector<AcknowledgedCommit>> acknowledged_;  // by service, in time
+  std::map<std::string, std::vector<AcknowledgedCommit>>
+      acknowledged_;  // by service, in order of time
   std::size_t succeeded_ = 0;
 };
 
--- a/src/proxysim/key_history.h
+++ b/src/proxysim/key_history.h
@@ -1,6 +1,7 @@
-// Which tenant held which key when, as the simulated store has taken it.
+// Records which tenant each key belonged to over time, according to the simulated store.
 //
-// Owns: the holders of all keys over time. Invariant: times of one key rise. Thread: one.
+// Owns: the tenants of all keys over time. Invariant: the times of one key increase. Not
+// thread-safe.
 #pragma once
 
 #include <map>
@@ -14,17 +15,17 @@
 
 class KeyHistory {
  public:
-  /// Notes that a key belongs to a tenant from now on. @param tenant empty: to nobody.
+  /// Records that a key belongs to a tenant from now on. @param tenant empty: to no tenant.
   void Set(const std::string& key, const std::string& tenant, common::Instant now);
 
   /// @return the key's tenant now, empty if it has none.
   std::string TenantOf(const std::string& key) const;
 
-  /// @return true if the tenant held the key at some time within the span.
+  /// @return true if the key belonged to the tenant at some time between the two times.
   bool HeldWithin(const std::string& key, const std::string& tenant, common::Instant from,
                   common::Instant to) const;
 
-  /// @return names of all keys that ever were.
+  /// @return all keys that ever belonged to a tenant.
   std::vector<std::string> Keys() const;
 
  private:
--- a/src/proxysim/load_balancer.h
+++ b/src/proxysim/load_balancer.h
@@ -1,8 +1,8 @@
-// Tells callers where to connect, as what stands in front of the daemons does: it asks each daemon
-// now and then whether it is ready, so it notices a stop late.
+// Chooses daemons for new connections like a load balancer with health checks: it probes each
+// daemon every second, so it detects a stop late.
 //
-// Owns: which daemons are in. Invariant: a daemon is out from its second miss in a row until it
-// says again that it is ready. Thread: one.
+// Owns: the probe results. Invariant: a daemon is out of rotation from its second failed probe in a
+// row until a probe succeeds. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -18,8 +18,9 @@
  public:
   LoadBalancer(World& world, std::vector<DaemonHost*> daemons);
 
-  /// @return a daemon for a new connection from a zone: one that is in, or any of the zone if fewer
-  ///     than half of its daemons are, or one of another zone if none is.
+  /// @return a daemon for a new connection from a zone: one of the zone in rotation; any daemon of
+  ///     the zone if fewer than half of its daemons are in rotation; one of another zone if none
+  ///     is.
   DaemonHost& Choose(const std::string& zone);
 
  private:
--- a/src/proxysim/region_checker.h
+++ b/src/proxysim/region_checker.h
@@ -1,7 +1,7 @@
-// Whether work was where it may be, as the simulated store's configurations say.
+// Decides whether work ran in an allowed region, according to the simulated store's configurations.
 //
 // Owns: every version of the configuration with its time, the regions of the zones. Invariant: it
-// shares no code with what the daemons decide by. Thread: one.
+// shares no code with the daemons' decisions. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,13 @@
   explicit RegionChecker(std::map<std::string, std::string> region_by_zone)
       : region_by_zone_(std::move(region_by_zone)) {}
 
-  /// Notes a version that the store has taken.
+  /// Records a version that was written to the store.
   void RecordVersion(const model::Configuration& configuration, common::Instant now);
 
   /// @param known  version that the deciding daemon has in force; nothing if it has ended
-  /// @return true if some version that the daemon may go by lets the attempt be in the zone: those
-  /// in force within the time in which a version must take hold, and what it knows if it was out of
-  /// touch.
+  /// @return true if a version that the daemon may apply allows the attempt in the zone: the
+  /// versions in force within the last kInForceLimit, and those from its known version on, which it
+  /// still has if it was disconnected.
   bool Allows(const CallerAttempt& attempt, const std::string& zone,
               const std::optional<std::uint64_t>& known) const;
 
--- a/src/proxysim/scenario.h
+++ b/src/proxysim/scenario.h
@@ -1,7 +1,7 @@
-// Random days: a deployment, callers, and faults drawn from a seed.
+// Random scenarios: a deployment, callers, and faults drawn from a seed.
 //
-// Owns: nothing between runs. Invariant: the same seed and options give the same result. Thread:
-// one.
+// Keeps no state between runs. Invariant: the same seed and options give the same result. Not
+// thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 
 namespace valvekeel::proxysim {
 
-/// What a day is made of.
+/// Contents of a scenario.
 struct ScenarioOptions {
   std::uint64_t seed = 1;
-  common::Duration time_before_faults{8'000'000};  // until the faults begin
+  common::Duration time_before_faults{8'000'000};  // from the first caller to the first fault
   common::Duration fault_time{24'000'000};
-  common::Duration recovery_time{14'000'000};  // everything must serve again by its end
+  common::Duration recovery_time{14'000'000};  // operations must succeed again by its end
   std::size_t faults = 6;
   std::size_t sessions = 40;
   bool draw_shape = false;      // draws numbers of daemons, zones, instances, replicas
-  bool tenants = false;         // callers have keys, which are taken away and passed on
+  bool tenants = false;         // callers have keys, which are revoked and reassigned
   bool key_proof = true;        // off: daemons need no proof that keys are in force
-  bool evacuations = false;     // operators evacuate zones, and take that back
-  bool large = false;           // many daemons before few connections: sessions are relayed
-  bool warm_up = false;         // instances that start are cold for a while
-  bool planned_stops = false;   // no faults: daemons are stopped in rolls, beside configurations
-  bool restart_empty = false;   // instances that end start again under their id, with nothing
-  bool store_restores = false;  // the store comes back from older copies
-  bool regions = false;         // two regions; routes and tenants are limited to them by turns
+  bool evacuations = false;     // operators evacuate zones, and end the evacuations
+  bool large = false;           // many daemons, few connections: sessions are relayed
+  bool warm_up = false;         // instances warm up after their start
+  bool planned_stops = false;   // no faults: rolling stops of daemons and configuration changes
+  bool restart_empty = false;   // instances restart under their id without their data
+  bool store_restores = false;  // the store is restored from older copies
+  bool regions = false;         // two regions; the limits of routes and tenants change
   proxy::Mechanisms mechanisms;
   bool record_load = false;  // of the daemons, for ScenarioResult::load_trace
   bool print_log = false;    // prints the daemons' log lines
@@ -38,15 +38,15 @@
 
 struct ScenarioResult {
   std::vector<Violation> violations;
-  std::vector<std::string> faults;  // what was done, in order
+  std::vector<std::string> faults;  // the injected faults and planned events, in order
   std::size_t attempts = 0;
   std::size_t succeeded = 0;
   std::size_t promotions = 0;
   std::size_t evacuations = 0;
   std::size_t stops = 0;     // planned, of daemons
-  std::size_t relayed = 0;   // sessions handed over by daemons that live at the end
+  std::size_t relayed = 0;   // sessions handed over by daemons that are alive at the end
   std::string load_trace;    // of the daemon with the most operations (waiting/trace.h)
-  double served_at_end = 0;  // share of the operations of the last seconds
+  double served_at_end = 0;  // share of the operations in the last seconds that succeeded
 };
 
 ScenarioResult RunScenario(const ScenarioOptions& options);
--- a/src/proxysim/store.h
+++ b/src/proxysim/store.h
@@ -1,7 +1,8 @@
-// The simulated metadata store and promotion service.
+// The simulated metadata store.
 //
-// Owns: the objects with their revisions. Invariant: a revision counter rises with every change of
-// an era; writes are done only under their condition, also when they are done late. Thread: one.
+// Owns: the objects with their revisions. Invariant: within an era the revision increases with
+// every change; conditional writes check their condition when they are executed, also if they are
+// delayed. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -20,13 +21,13 @@
 
 namespace valvekeel::proxysim {
 
-/// How the store behaves for now.
+/// Current faults of the store.
 struct StoreFaults {
-  bool refusing = false;            // refuses every call
-  bool unresponsive = false;        // answers nothing, does nothing
-  double lost_answer_share = 0;     // share of the writes that are done and not answered
-  bool late_writes = false;         // lost writes are done seconds later
-  common::Duration extra_delay{0};  // time added to every answer
+  bool refusing = false;            // every call is refused
+  bool unresponsive = false;        // calls are neither executed nor answered
+  double lost_answer_share = 0;     // share of leadership writes that are executed and not answered
+  bool late_writes = false;         // writes with a lost answer are executed seconds later
+  common::Duration extra_delay{0};  // added to the service time of every call
 
   bool None() const {
     return !refusing && !unresponsive && lost_answer_share == 0 && extra_delay.count() == 0;
@@ -47,30 +48,31 @@
   void WriteLeadership(const std::string& daemon, const failover::ConditionalWrite& write,
                        const WriteHandler& handler);
 
-  /// Reads an era's leadership record. @param handler gets it as of kWritten; kNoAnswer if
-  /// unanswered.
+  /// Reads an era's leadership record. @param handler receives it with the status kWritten, or
+  /// kNoAnswer if there was no answer.
   void ReadLeadership(const std::string& daemon, std::uint64_t era, const WriteHandler& handler);
 
-  /// Takes the newest configuration and its revision; nothing if there was no answer.
+  /// Receives the newest configuration and its revision; nullopt if there was no answer.
   using ConfigurationHandler =
       std::function<void(const std::optional<model::Configuration>&, const model::Revision&)>;
 
-  /// Reads the configuration as it is now.
+  /// Reads the current configuration.
   void ReadConfiguration(const std::string& daemon, const ConfigurationHandler& handler);
 
-  /// Registers a daemon. @param handler told whether it was written.
+  /// Registers a daemon. @param handler receives true if the entry was written.
   void WriteDaemon(const std::string& daemon, const model::DaemonEntry& entry,
                    const std::function<void(bool)>& handler);
 
-  /// Forgets the history: watches end, and later ones from earlier revisions are refused.
+  /// Compacts the history: watches end, and later watches from earlier revisions are refused.
   void Compact();
 
-  /// Comes back from a copy of this age, at most kOldestCopy: revisions go back and are given out
-  /// again. What operators and instances wrote since is written again within kWrittenAgain; what
-  /// daemons wrote is gone. Waiting watches are cut, never answered, or go on to wait.
+  /// Restores the store from a copy of this age, at most kMaxCopyAge: the revision counter goes
+  /// back and revisions are used a second time. What operators and instances have written since the
+  /// copy is written again within kRewriteTime; what daemons wrote is lost. Waiting watches are
+  /// closed, never answered, or continue to wait.
   void Restore(common::Duration age);
 
-  /// Rises with each return from a copy.
+  /// Increases with each restore from a copy.
   std::uint64_t Era() const { return era_; }
 
   static constexpr common::Duration kMaxCopyAge{8'000'000};
@@ -78,7 +80,7 @@
 
   StoreFaults faults;
 
-  /// @return how often the whole configuration was sent, by lists and watches.
+  /// @return the number of times the configuration was sent, by lists and watches.
   std::size_t ConfigurationsSent() const { return configurations_sent_; }
 
  private:
@@ -99,22 +101,24 @@
   };
 
   using Key = std::pair<model::Collection, std::string>;
-  /// What a change replaced.
+  /// The state that a change replaced.
   struct Replaced {
     common::Instant at{0};
     Key key;
     std::optional<Object> before;
-    std::uint64_t revision = 0;  // of the store before
+    std::uint64_t revision = 0;  // of the store before the change
   };
 
   void RecordReplaced(const Key& key);
-  /// Undoes the newest changes. @return what operators' and instances' objects were; nothing: gone.
+  /// Undoes the changes after a time. @return the undone payloads of operators' and instances'
+  /// objects; nullopt: deleted.
   std::map<Key, std::optional<model::CatalogPayload>> UndoSince(common::Instant since);
   void Rewrite(const Key& key);
   std::optional<model::CatalogPayload> Payload(const Key& key) const;
   void EndWatches();
 
-  /// Carries a question to the store and an answer back, as far as the ways are open.
+  /// Executes a call at the store after the network delay, if the store is reachable and
+  /// responsive. The answer is sent with Reply.
   void SendToStore(const std::string& daemon, std::function<void()> work);
   void Reply(const std::string& daemon, std::function<void()> answer);
   void CountConfigurations(const metadata::ReadCall& call, const metadata::ReadResult& result);
@@ -126,7 +130,7 @@
   World& world_;
   std::uint64_t revision_ = 1;
   std::uint64_t era_ = 1;
-  std::deque<Replaced> replaced_;  // changes of the time from which copies may be, in order
+  std::deque<Replaced> replaced_;  // changes within kMaxCopyAge, in order
   std::map<Key, std::optional<model::CatalogPayload>> pending_rewrites_;
   std::uint64_t oldest_kept_revision_ = 0;
   std::size_t configurations_sent_ = 0;
--- a/src/proxysim/world.h
+++ b/src/proxysim/world.h
@@ -1,7 +1,7 @@
-// The simulated surroundings: time, random numbers, who reaches whom, what was found wrong.
+// The simulated environment: time, random numbers, network partitions and found violations.
 //
 // Owns: the event queue, the partitions and the violations. Invariant: the same seed gives the same
-// run. Thread: one.
+// run. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 namespace valvekeel::proxysim {
 
-/// Something that must never happen, and did.
+/// A violation of a rule that must always hold.
 struct Violation {
   std::string rule;
   std::string detail;
@@ -35,7 +35,7 @@
   }
   void RunUntil(common::Instant time) { queue_.RunUntil(time); }
 
-  /// @return a whole number from 0 to below the limit.
+  /// @return a random integer from 0 to limit - 1; 0 if the limit is 0.
   std::uint64_t RandomBelow(std::uint64_t limit) { return limit == 0 ? 0 : random_() % limit; }
   bool Chance(double probability) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
@@ -48,7 +48,8 @@
   /// @return the one-way delay of a message between two parties.
   common::Duration NetworkDelay() { return RandomBetween(kMinDelay, kMaxDelay); }
 
-  /// Cuts or restores the way from one party to another; a cut is silent.
+  /// Cuts or restores the link from one party to another. Messages on a cut link are dropped
+  /// without an error.
   void Cut(const std::string& from, const std::string& to) {
     cuts_.insert({from, to});
     RecordFault(from);
@@ -71,10 +72,10 @@
     return !cuts_.contains({from, to});
   }
 
-  /// Something that was not planned has just begun or ended at a party.
+  /// Records that an unplanned fault has just begun or ended at a party.
   void RecordFault(const std::string& party) { last_faults_[party] = Now(); }
 
-  /// @return true if there is trouble at the party, or was within the time.
+  /// @return true if a link of the party is cut, or a fault began or ended there within the time.
   bool HadFault(const std::string& party, common::Duration within) const {
     const auto found = last_faults_.find(party);
     const bool lately = found != last_faults_.end() && Now() < found->second + within;
@@ -95,7 +96,7 @@
   sim::EventQueue queue_;
   std::mt19937_64 random_;
   std::set<std::pair<std::string, std::string>> cuts_;
-  std::map<std::string, common::Instant> last_faults_;  // newest, by party
+  std::map<std::string, common::Instant> last_faults_;  // time of the last fault, by party
   std::vector<Violation> violations_;
 };
 
--- a/src/sim/cluster_sim.h
+++ b/src/sim/cluster_sim.h
@@ -1,8 +1,8 @@
-// Many daemons' cluster code in one process, on simulated time.
+// Runs the cluster code of many daemons in one process, on simulated time.
 //
-// Owns: the nodes, the simulated network and the counts of what each node sent, received and spent.
+// Owns: the nodes, the simulated network and the counters of each node.
 // Invariant: nodes run the daemon's own cluster::Node; every message is encoded and decoded as on
-// the wire; the same seed gives the same run, processor times apart. Thread: one.
+// the wire; the same seed gives the same run, except processor times. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +32,7 @@
   std::uint64_t seed = 1;
 };
 
-/// What one daemon sent, received and spent.
+/// Traffic and processor time of one daemon.
 struct NodeUsage {
   std::uint64_t messages_sent = 0;
   std::uint64_t bytes_sent = 0;
@@ -46,23 +46,23 @@
  public:
   explicit ClusterSim(ClusterShape shape);
 
-  /// Starts all daemons with each other's records known, as after an earlier run.
+  /// Starts all daemons with the same table of members and configuration objects.
   void StartAll();
 
-  /// Lets the simulated time pass.
+  /// Runs the simulation for a duration.
   void Run(common::Duration duration);
 
-  /// Ends a daemon without farewell.
+  /// Ends a daemon without an announcement to the others.
   void Kill(std::size_t daemon);
 
-  /// Stops a daemon with its farewell.
+  /// Stops a daemon, which announces its termination.
   void StopPlanned(std::size_t daemon);
 
-  /// Starts a daemon that was ended, empty, with a higher incarnation.
+  /// Starts an ended daemon with an empty table and a higher incarnation.
   void Restart(std::size_t daemon);
 
   /// Publishes a changed configuration object through the relays.
-  /// @param first_region_only the other region's relays do not see the platform.
+  /// @param first_region_only the relays of the other region do not receive the change.
   /// @return the object's version.
   std::uint64_t ChangeDatabase(std::size_t database, bool first_region_only = false);
 
@@ -72,14 +72,14 @@
   /// @return true if every running daemon holds at least this version of the object.
   bool InForceEverywhere(std::size_t database, std::uint64_t version) const;
 
-  /// @return true if every running daemon in the zones reachable sees exactly the running ones.
+  /// @return true if the membership view of every running daemon equals the set of running daemons.
   bool ViewsAgree() const;
 
-  /// Runs until the condition holds. @return the time it took, or nothing after the limit.
+  /// Runs until the condition holds. @return the elapsed time, or nullopt if the limit is reached.
   std::optional<common::Duration> RunUntil(const std::function<bool()>& condition,
                                            common::Duration limit);
 
-  /// Sets all counts to zero.
+  /// Resets all counters to zero.
   void ResetUsage();
 
   const std::vector<NodeUsage>& Usage() const { return usage_; }
@@ -113,7 +113,8 @@
   std::map<cluster::MemberId, std::size_t> index_of_;
   std::vector<std::unique_ptr<cluster::Node>> nodes_;
   std::vector<bool> running_;
-  std::vector<std::uint64_t> generation_;  // counts starts, so that timers of earlier ones end
+  std::vector<std::uint64_t>
+      generation_;  // increases when a daemon ends, so that its old timers do nothing
   std::vector<NodeUsage> usage_;
   std::vector<std::uint64_t> versions_;
   std::uint64_t next_version_ = 1;
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -1,7 +1,8 @@
-// Simulated time: events run in the order of their time, ties in the order of their posting.
+// Event queue on simulated time: events run in the order of their time, and at the same time in the
+// order of insertion.
 //
-// Owns: the pending events and the clock. Invariant: time never goes back; the same posts give the
-// same order. Thread: one.
+// Owns: the pending events and the clock. Invariant: time never goes back; the same insertions give
+// the same order. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
  public:
   using Action = std::function<void()>;
 
-  /// Runs the action at the time, or now if that has passed.
+  /// Schedules the action for a time, or for now if the time has passed.
   void At(common::Instant time, Action action) {
     const common::Instant when = time < now_ ? now_ : time;
     events_.push({when, next_++, std::move(action)});
