--- a/src/proxysim/callers.cc
+++ b/src/proxysim/callers.cc
@@ -33,7 +33,8 @@
 struct Callers::Caller {
   DaemonHost* daemon = nullptr;
   std::uint64_t session = 0;
-  std::uint64_t epoch = 0;  // of the session, so that late events are told apart
+  std::uint64_t epoch =
+      0;  // increases with each session, so that events of earlier ones are ignored
   std::string service;
   std::string key;
   model::Route route;
@@ -243,7 +244,7 @@
     if (reply.state != model::TransactionState::kIdle) {
       caller->daemon->Command(caller->session,
                               {caller->attempt, MakeCommand(CommandKind::kRollback)});
-      // The answer to the end of the transaction is not looked at: a new session is simpler.
+      // The answer to the rollback is ignored: a new session is simpler.
       caller->daemon->CloseSession(caller->session);
       const bool may_retry = promised || !caller->commit_sent;
       OnFailure(caller, may_retry);
@@ -287,7 +288,7 @@
     Connect(caller);
     return;
   }
-  // The values of the session are gone with it: the operation is begun anew on another one.
+  // The session's values are lost with it, so the operation is retried on a new session.
   caller->active = false;
   const std::uint32_t retries = caller->retries + 1;
   caller->daemon->CloseSession(caller->session);
--- a/src/proxysim/cluster.cc
+++ b/src/proxysim/cluster.cc
@@ -10,7 +10,7 @@
 
 constexpr const char* kPlatform = "platform";
 constexpr common::Duration kPromotionTimeout{450'000};
-constexpr common::Duration kUnlistDelay{3'600'000};  // three heartbeats of silence
+constexpr common::Duration kUnlistDelay{3'600'000};  // after three missed heartbeats
 constexpr std::uint16_t kPeerPort = 7440;
 constexpr common::Duration kWriteTimeout{800'000};
 constexpr common::Duration kReadTimeout{2'000'000};
@@ -29,7 +29,7 @@
   return route;
 }
 
-/// @return a port that an instance shares only with those that carry on its log.
+/// @return a port that an instance shares only with those restarted with its log under another id.
 std::uint16_t AddressPort(const std::string& id) {
   constexpr std::size_t kFirst = 10'000;
   constexpr std::size_t kPorts = 50'000;
--- a/src/proxysim/control_cost.cc
+++ b/src/proxysim/control_cost.cc
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t kSeed = 1;
 constexpr std::size_t kZones = 5;
-/// Connections an instance takes and its slots, as on the users' large site.
+/// Connections that an instance accepts, and its slots, as in a large deployment.
 constexpr std::size_t kConnections = 202;
 constexpr std::size_t kSlots = 3;
 constexpr common::Duration kStartTime{6'000'000};
@@ -24,7 +24,7 @@
   return static_cast<double>(std::clock()) / static_cast<double>(CLOCKS_PER_SEC);
 }
 
-/// Counts what happens in one phase.
+/// Counts messages, bytes and store calls in one phase.
 class PhaseMeter {
  public:
   explicit PhaseMeter(Cluster& cluster) : cluster_(cluster), began_(ProcessorSeconds()) {
@@ -33,7 +33,7 @@
     }
   }
 
-  /// Lets the deployment run. @return what was counted.
+  /// Runs the deployment for the duration. @return the counts.
   PhaseCost Run(common::Duration length) {
     cluster_.SimWorld().RunUntil(cluster_.SimWorld().Now() + length);
     PhaseCost cost;
--- a/src/proxysim/daemon_host.cc
+++ b/src/proxysim/daemon_host.cc
@@ -13,20 +13,21 @@
 constexpr common::Duration kFetchTimeout{500'000};
 constexpr common::Duration kStartTime{50'000};
 
-/// What the host does from the decision to end until its process ends.
+/// Behavior of the host from the decision to exit until its process ends.
 enum class ExitBehavior {
-  kKeepsServing,  // it accepts and reads as before, all of which the end cuts off
-  kStopsReading   // it accepts and reads nothing; what was sent before leaves
+  kKeepsServing,  // it accepts and reads as before; the process end closes all of it unanswered
+  kStopsReading   // it accepts and reads nothing; earlier output is still sent
 };
 
-/// As the host does (its Do(Exit)): the one place to change with it.
+/// Must match the real host (its Do(Exit)).
 constexpr ExitBehavior kHostExitBehavior = ExitBehavior::kStopsReading;
-/// From the decision to end until the process ends: within the 600 ms that the host gives answers.
+/// Time from the decision to exit until the process ends: less than the 600 ms that the real host
+/// allows for sending answers.
 constexpr common::Duration kExitDelay{150'000};
 
 std::string Milliseconds(common::Duration time) { return std::to_string(time.count() / 1000); }
 
-/// @return the time of the arrival of something sent now, after what was sent before.
+/// @return the arrival time of a message sent now, not before that of earlier messages.
 common::Instant ArriveAfter(common::Instant& last, common::Instant arrival) {
   last = std::max(last, arrival);
   return last;
@@ -43,7 +44,7 @@
 
 void DaemonHost::Start() {
   if (proxy_) {
-    return;  // another fault has started it already
+    return;  // already started by another fault
   }
   const std::uint64_t incarnation = ++incarnation_;
   cluster_.SimWorld().After(kStartTime, [this, incarnation] {
@@ -97,7 +98,7 @@
     SendToOwner(link,
                 [session = link.owner_session](DaemonHost& owner) { owner.CloseSession(session); });
   }
-  // The decision code may be running: it ends with the event that killed it.
+  // The Proxy may be on the call stack: it is destroyed after the current event.
   std::shared_ptr<proxy::Proxy> ending = std::move(proxy_);
   cluster_.SimWorld().After(common::Duration(0), [ending] {});
   for (const auto& [number, caller] : callers) {
@@ -353,7 +354,7 @@
   World& world = cluster_.SimWorld();
   const std::string instance = found->second;
   CheckRegions(instance, action.requests);
-  // One delay for all, so that they arrive in order.
+  // One delay for all requests, so that they arrive in order.
   const std::uint64_t key = ConnectionKey(action.connection);
   world.After(world.NetworkDelay(), [this, instance, action, key] {
     for (const model::InstanceRequest& request : action.requests) {
--- a/src/proxysim/database_group.cc
+++ b/src/proxysim/database_group.cc
@@ -101,7 +101,7 @@
     return;
   }
   instance.cold_until = world_.Now() + shape_.warm_up.time;
-  // It says when it is warm, as its heartbeats would.
+  // Reports the end of the warm-up, as the instance's heartbeats would.
   world_.After(shape_.warm_up.time, [this] { on_change(); });
 }
 
@@ -289,7 +289,7 @@
 
 void DatabaseGroup::CheckRead(const SimulatedInstance& instance, const CallerAttempt& attempt) {
   const std::vector<AcknowledgedCommit> required = history_.RequiredCommits(attempt);
-  // The newest few are the ones that may be missing: logs are prefixes of each other.
+  // Checking the newest few suffices: logs are prefixes of each other.
   constexpr std::size_t kChecked = 4;
   for (std::size_t i = 0; i < std::min(kChecked, required.size()); ++i) {
     const AcknowledgedCommit& commit = required[required.size() - 1 - i];
@@ -494,13 +494,13 @@
     if (LogContains(leader, commit, leader.log.size())) {
       continue;
     }
-    // Without synchronous replicas a commit may be taken back; that is the group's own choice.
+    // Without synchronous replicas the group accepts that commits may be lost.
     history_.RemoveAcknowledged(service_, commit.id);
     if (shape_.sync_replicas > 0) {
       world_.Report("LOST", commit.id + " is missing at " + id);
     }
   }
-  // What the former primary committed and nobody acknowledged may not survive.
+  // Commits of the former primary that no replica confirmed may be rolled back.
   for (auto& [other, instance] : instances_) {
     if (other == id || !instance.primary) {
       continue;
--- a/src/proxysim/region_checker.cc
+++ b/src/proxysim/region_checker.cc
@@ -5,7 +5,7 @@
 namespace valvekeel::proxysim {
 namespace {
 
-/// Time from a version's writing until it must be in force, as on the users' sites.
+/// Maximum time from the write of a version until it is in force, as users require.
 constexpr common::Duration kInForceLimit{5'000'000};
 
 bool Includes(const std::vector<std::string>& regions, const std::string& region) {
--- a/src/proxysim/scenario.cc
+++ b/src/proxysim/scenario.cc
@@ -24,24 +24,24 @@
 constexpr double kMinServedAtEnd = 0.9;
 const std::string kPlatform = "platform";
 
-constexpr std::size_t kKeyChanges = 8;     // of a day with tenants
-constexpr std::size_t kEvacuations = 3;    // of a day with evacuations
-constexpr std::size_t kRegionChanges = 8;  // of a day with regions
+constexpr std::size_t kKeyChanges = 8;     // in a scenario with tenants
+constexpr std::size_t kEvacuations = 3;    // in a scenario with evacuations
+constexpr std::size_t kRegionChanges = 8;  // in a scenario with regions
 constexpr std::size_t kRegions = 2;
-constexpr std::size_t kConfigurationChanges = 4;  // of a day of planned stops
-constexpr std::size_t kRestores = 3;              // of a day on which the store returns from copies
+constexpr std::size_t kConfigurationChanges = 4;  // in a scenario of planned stops
+constexpr std::size_t kRestores = 3;              // in a scenario with store restores
 
-/// Draws and carries out the faults of one day.
+/// Draws and injects the faults of one scenario.
 class FaultInjector {
  public:
-  /// @param anew instances that end start again under their id, with nothing of before.
+  /// @param restart_empty crashed instances restart under their id without their data.
   FaultInjector(Cluster& cluster, std::vector<std::string>& event_log, bool restart_empty)
       : cluster_(cluster),
         world_(cluster.SimWorld()),
         event_log_(event_log),
         restart_empty_(restart_empty) {}
 
-  /// Begins one fault now; it ends by itself.
+  /// Begins a random fault now; its end is scheduled.
   void Begin() {
     static constexpr std::size_t kKinds = 16;
     using Fault = void (FaultInjector::*)();
@@ -79,7 +79,8 @@
     Crash(group, group.Primary() == nullptr ? "" : group.Primary()->id, false);
   }
 
-  /// Cuts everything in one region off from the other, and the other from the store or not.
+  /// Cuts all links between the two regions. With kStoreInOneRegionProbability the second region
+  /// loses the store and the platform too.
   void CutRegions() {
     const std::map<std::string, std::string> regions = cluster_.Regions();
     std::map<std::string, std::vector<std::string>> parties;
@@ -193,8 +194,9 @@
     }
   }
 
-  /// One instance starts again with nothing. Not while another is away, or has lately done so: what
-  /// it held may then be nowhere else, and the group waits for it for good.
+  /// Restarts an instance without its data. Does nothing while another instance is down or shortly
+  /// after another such restart: the data may then exist nowhere else, and the group would wait for
+  /// it forever.
   void RestartEmpty(DatabaseGroup& group, const std::string& id) {
     const auto& instances = group.Instances();
     const bool all_there = std::all_of(instances.begin(), instances.end(), [](const auto& each) {
@@ -251,7 +253,7 @@
     Crash(group, RandomReplica(group), world_.Chance(0.5));
   }
 
-  /// The instances of a zone end at once, and come back one by one.
+  /// Crashes all instances of a zone at once; they restart one by one.
   void CrashZone() {
     const std::string zone = ZoneName(world_.RandomBelow(cluster_.Shape().zones));
     LogEvent("crash the instances of " + zone);
@@ -394,13 +396,14 @@
   std::map<std::string, Instant> last_empty_restart_;  // by service
 };
 
-/// Stops all daemons in rolls, one to three at a time, each batch close after the one before.
+/// Repeated rolling stops of all daemons: one to three at a time, each batch soon after the
+/// previous.
 class RollingStops {
  public:
   RollingStops(Cluster& cluster, std::vector<std::string>& event_log)
       : cluster_(cluster), world_(cluster.SimWorld()), event_log_(event_log) {}
 
-  /// Begins one roll after the other, up to a time.
+  /// Begins rolling stops that repeat until a time.
   void Begin(Instant until) {
     until_ = until;
     StopNext();
@@ -441,12 +444,12 @@
   Cluster& cluster_;
   World& world_;
   std::vector<std::string>& event_log_;
-  std::vector<DaemonHost*> remaining_;  // of the present roll
+  std::vector<DaemonHost*> remaining_;  // daemons not yet stopped in the current rolling stop
   Instant until_{0};
   std::size_t stops_ = 0;
 };
 
-/// The store goes away for a moment and returns from a copy, mostly at a bad moment.
+/// Short store outages that end with a restore from a copy, mostly together with other events.
 class StoreRestores {
  public:
   StoreRestores(Cluster& cluster, FaultInjector& injector, std::vector<std::string>& event_log)
@@ -506,7 +509,7 @@
   std::vector<std::string>& event_log_;
 };
 
-/// Takes keys away and gives them back, to the same tenant or another.
+/// Revokes keys and assigns them again, to the same tenant or another.
 class KeyChanges {
  public:
   explicit KeyChanges(Cluster& cluster) : cluster_(cluster), world_(cluster.SimWorld()) {}
@@ -578,12 +581,12 @@
   std::size_t count_ = 0;
 };
 
-/// Limits routes and tenants to regions by turns.
+/// Changes the regions to which routes and tenants are limited.
 class RegionChanges {
  public:
   explicit RegionChanges(Cluster& cluster) : cluster_(cluster), world_(cluster.SimWorld()) {}
 
-  /// Draws limits for some route or tenant.
+  /// Draws new limits for a random route or tenant.
   void Change() {
     const std::size_t tenants = cluster_.Shape().tenants;
     if (tenants > 0 && world_.Chance(kTenantProbability)) {
@@ -596,7 +599,7 @@
     cluster_.LimitRoute(route->first, DrawRegions());
   }
 
-  /// Limits each service's routes to a region where it has an instance, and no tenant.
+  /// Limits each service's routes to a region in which it has an instance; tenants are not limited.
   void SetFinalLimits() {
     for (std::size_t tenant = 0; tenant < cluster_.Shape().tenants; ++tenant) {
       cluster_.LimitTenant(TenantName(tenant), {});
@@ -685,7 +688,8 @@
   ClusterShape shape = DrawnShape(options);
   if (options.regions) {
     shape.regions = kRegions;
-    shape.group.sends_log_at_restart = true;  // there may be no commit: nothing may run there
+    shape.group.sends_log_at_restart =
+        true;  // there may be no next commit: work may not be allowed there
     shape.zones = std::max(shape.zones, kRegions);
   }
   return shape;
--- a/src/proxysim/store.cc
+++ b/src/proxysim/store.cc
@@ -17,13 +17,14 @@
 constexpr common::Duration kWriteTimeout{900'000};
 constexpr common::Duration kMinLateWriteDelay{1'000'000};
 constexpr common::Duration kMaxLateWriteDelay{6'000'000};
-/// Of the returns from a copy: waiting watches are never answered; they go on to wait.
+/// At a restore waiting watches continue to wait with the second probability; otherwise they are
+/// never answered with the first, and closed in the remaining cases.
 constexpr double kWatchesLostProbability = 0.4;
 constexpr double kWatchesKeptProbability = 0.3;
 
 std::string LeaderName(std::uint64_t era) { return kLeaderPrefix + std::to_string(era); }
 
-/// @return true if others than daemons write the collection's objects.
+/// @return true if operators or instances write the collection's objects, not daemons.
 bool IsWrittenByOthers(Collection collection) {
   return collection == Collection::kConfiguration || collection == Collection::kInstances ||
          collection == Collection::kEvacuations;
@@ -108,7 +109,7 @@
   oldest_kept_revision_ = std::min(oldest_kept_revision_, revision_);
   std::erase_if(events_, [this](const Event& event) { return event.revision > revision_; });
   for (const auto& [key, payload] : undone) {
-    // What was still to be written after an earlier return is the newest wish all the same.
+    // A rewrite still pending from an earlier restore is newer than the undone payload: keep it.
     pending_rewrites_.try_emplace(key, payload);
     world_.After(world_.RandomBetween(common::Duration(0), kRewriteTime),
                  [this, key = key] { Rewrite(key); });
--- a/src/sim/cluster_sim.cc
+++ b/src/sim/cluster_sim.cc
@@ -30,7 +30,7 @@
          static_cast<std::uint64_t>(time.tv_nsec);
 }
 
-/// Adds the processor time of its life to a count.
+/// Adds the processor time of the thread during its lifetime to a counter.
 class CpuMeter {
  public:
   explicit CpuMeter(std::uint64_t& total) : total_(total), start_(ThreadCpuNanos()) {}
@@ -95,7 +95,7 @@
 }
 
 void ClusterSim::StartAll() {
-  // Everyone starts with the same table, as a cluster that has been running for long.
+  // All daemons start with the same table, like a cluster that has been running for long.
   cluster::Actions ignored;
   for (std::size_t daemon = 0; daemon < nodes_.size(); ++daemon) {
     nodes_[daemon] =
@@ -121,7 +121,7 @@
 }
 
 void ClusterSim::ScheduleTick(std::size_t daemon, std::uint64_t generation) {
-  // Daemons do not tick in step.
+  // Ticks of different daemons are not synchronized.
   const Duration offset{
       std::uniform_int_distribution<std::int64_t>(0, kTickInterval.count() - 1)(random_)};
   queue_.After(offset, [this, daemon, generation] { TickNode(daemon, generation); });
@@ -166,7 +166,7 @@
     if (const auto found = index_of_.find(send->to); found != index_of_.end()) {
       to = found->second;
     } else if (send->address.port >= kFirstPort) {
-      to = send->address.port - kFirstPort;  // a seed, known by its address only
+      to = send->address.port - kFirstPort;  // a seed, of which only the address is known
     }
     if (to >= nodes_.size()) {
       continue;
--- a/tests/proxysim/configuration_spread_test.cc
+++ b/tests/proxysim/configuration_spread_test.cc
@@ -1,5 +1,5 @@
-// A configuration reaches all daemons of a large deployment through the hubs of their zones: the
-// store's link carries it to a few, whatever the number of daemons.
+// Tests that a configuration reaches all daemons of a large deployment through the hubs of their
+// zones: only a few daemons read it from the store, whatever the number of daemons.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -31,7 +31,7 @@
       }));
 }
 
-/// @return how often the store was asked for the configuration while a change went round.
+/// @return the number of times the store sent the configuration while a change was distributed.
 std::size_t ConfigurationReadsPerChange(Cluster& cluster) {
   World& world = cluster.SimWorld();
   world.RunUntil(world.Now() + seconds(8));
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("A change of the configuration is read from the store by few, and known to all in 1 s",
+TEST_CASE("Few daemons read a configuration change from the store, and all apply it within 1 s",
           "[proxysim]") {
   Cluster small(1, ShapeOf(40));
   Cluster larger(1, ShapeOf(160));
@@ -53,7 +53,7 @@
   CHECK(ConfigurationReadsPerChange(larger) <= by_few + kZones);
 }
 
-TEST_CASE("At the first start of many daemons few read the configuration from the store",
+TEST_CASE("At the first start of many daemons only few read the configuration from the store",
           "[proxysim]") {
   Cluster cluster(1, ShapeOf(160));
   cluster.SimWorld().RunUntil(seconds(6));
@@ -61,8 +61,7 @@
   CHECK(cluster.Store().ConfigurationsSent() < 60);
 }
 
-TEST_CASE("Without any hub that reads it, daemons read the configuration by themselves",
-          "[proxysim]") {
+TEST_CASE("Daemons read the configuration from the store themselves if no hub can", "[proxysim]") {
   Cluster cluster(1, ShapeOf(40));
   World& world = cluster.SimWorld();
   world.RunUntil(seconds(8));
@@ -81,7 +80,7 @@
   }));
 }
 
-TEST_CASE("An owner that restarts while the store is away learns of the instances from others",
+TEST_CASE("An owner that restarts while the store is down gets the instances from other daemons",
           "[proxysim]") {
   Cluster cluster(1, ShapeOf(40));
   World& world = cluster.SimWorld();
--- a/tests/proxysim/evacuation_test.cc
+++ b/tests/proxysim/evacuation_test.cc
@@ -1,4 +1,4 @@
-// Evacuations that fail halfway: one failure each, in a deployment that is otherwise at rest.
+// Tests of evacuations with one failure each, in a deployment without other faults.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
 
 constexpr std::uint64_t kSeed = 11;
 constexpr std::size_t kSessions = 20;
-/// When the primary's zone is evacuated.
+/// Time at which the primary's zone is evacuated.
 constexpr Instant kEvacuatedAt = seconds(10);
 constexpr Instant kEnd = seconds(24);
 /// A replacement without a failure takes 0.4 s here; a further coordinator takes over after 2.3 s.
@@ -36,11 +36,11 @@
   return shape;
 }
 
-/// A deployment with callers, whose log lines bring failures about.
+/// A deployment with callers, whose log lines trigger failures.
 class EvacuationScenario {
  public:
-  /// @param sync_replicas with 2 of 4 replicas a replacement bears the loss of one, with 1 it
-  /// waits.
+  /// @param sync_replicas with 2 of 4 replicas a replacement tolerates the loss of one, with 1 it
+  /// waits for it.
   explicit EvacuationScenario(std::uint32_t sync_replicas = 2)
       : cluster(kSeed, MakeShape(sync_replicas)) {
     monitor_ = group.on_request;
@@ -81,14 +81,14 @@
     return primary != nullptr && !cluster.IsEvacuated(cluster.ZoneOfInstance(primary->id));
   }
 
-  /// @return true if all daemons know of the evacuation.
+  /// @return true if the evacuation is in force at all daemons.
   bool AllApplyEvacuation() {
     return std::all_of(cluster.Daemons().begin(), cluster.Daemons().end(), [&](const auto& daemon) {
       return daemon->Proxy()->Evacuations().evacuated(zone);
     });
   }
 
-  /// Runs until the group is led elsewhere. @return how long that took.
+  /// Runs until the primary is outside the evacuated zones. @return the elapsed time.
   Duration RunUntilPrimaryElsewhere() {
     const Instant start = world.Now();
     while (!HasPrimaryElsewhere() && world.Now() < kEnd) {
@@ -107,7 +107,7 @@
     return begun == 0 ? 0 : static_cast<double>(succeeded) / static_cast<double>(begun);
   }
 
-  /// Runs to the end; all rules were kept, and all is served in the last seconds.
+  /// Runs to the end and checks that no rule is violated and that the last seconds are served.
   void CheckOutcome() {
     world.RunUntil(kEnd + seconds(1));
     for (const Violation& violation : world.Violations()) {
@@ -125,17 +125,17 @@
   std::string former;                                        // primary
   std::string zone;                                          // of the former primary
   std::map<std::string, Instant> evacuated_since;            // by evacuated zone
-  std::map<std::string, std::size_t> requests_in_evacuated;  // work in evacuated zones, by daemon
-  std::size_t late = 0;     // the same later than the limit, whatever the excuse
-  std::size_t blocked = 0;  // transactions rolled back for it
-  /// @return true if a request was refused for the cause, with a time to come back.
+  std::map<std::string, std::size_t> requests_in_evacuated;  // by daemon
+  std::size_t late = 0;     // those after the limit, exempt ones included
+  std::size_t blocked = 0;  // transactions rolled back because of an evacuation
+  /// @return true if a request was rejected for the cause, with a retry-after time.
   bool RefusedFor(const std::string& cause) const {
     return std::any_of(reasons.begin(), reasons.end(), [&](const std::string& reason) {
       return reason.starts_with("retry_after_ms=") && reason.ends_with(" " + cause);
     });
   }
 
-  std::set<std::string> reasons;  // of requests that were refused
+  std::set<std::string> reasons;  // of failed requests
 
  private:
   static std::size_t Second(Instant at) {
@@ -170,7 +170,7 @@
   std::function<void(const std::string&, const std::string&)> on_step_;
 };
 
-/// @return how many calls a deployment makes to its store in ten seconds at rest.
+/// @return the number of store calls of a deployment in ten seconds without faults.
 std::size_t StoreCallsWhenIdle(std::size_t daemons, Duration evacuation_limit) {
   ClusterShape shape;
   shape.daemons = daemons;
@@ -194,9 +194,9 @@
 
 }  // namespace
 
-TEST_CASE("At rest evacuations cost one call a second, whatever the number of daemons",
+TEST_CASE("Watching evacuations costs one store call a second, whatever the number of daemons",
           "[proxysim][evacuation]") {
-  const std::size_t daemons = GENERATE(6, 20);  // of 20, sessions are handed to owners
+  const std::size_t daemons = GENERATE(6, 20);  // with 20, sessions are handed over to owners
   const std::size_t without = StoreCallsWhenIdle(daemons, Duration(0));
   const std::size_t with = StoreCallsWhenIdle(daemons, kEvacuationLimit);
   INFO(with << " calls with, " << without << " without");
@@ -204,7 +204,8 @@
   CHECK(with <= without + 12);
 }
 
-TEST_CASE("A primary in an evacuated zone is replaced by plan", "[proxysim][evacuation]") {
+TEST_CASE("A primary in an evacuated zone is replaced by a planned promotion",
+          "[proxysim][evacuation]") {
   EvacuationScenario scenario;
   scenario.Evacuate(scenario.zone);
   CHECK(scenario.RunUntilPrimaryElsewhere() < seconds(2));
@@ -246,7 +247,7 @@
   CHECK(scenario.group.Primary()->term == 2);  // promoted once
 }
 
-TEST_CASE("The chosen replica dies before it is promoted", "[proxysim][evacuation]") {
+TEST_CASE("The chosen replica crashes before it is promoted", "[proxysim][evacuation]") {
   EvacuationScenario scenario;
   std::string chosen;
   scenario.OnStep("record", [&](const std::string&, const std::string& candidate) {
@@ -261,8 +262,9 @@
   scenario.CheckOutcome();
 }
 
-TEST_CASE("The chosen replica dies, and all replicas must be fenced: it is waited for",
-          "[proxysim][evacuation]") {
+TEST_CASE(
+    "The chosen replica crashes, and the promotion waits for it if all replicas must be fenced",
+    "[proxysim][evacuation]") {
   constexpr Duration kDownTime = seconds(3);
   EvacuationScenario scenario(1);
   bool crashed = false;
@@ -308,7 +310,8 @@
   scenario.CheckOutcome();
 }
 
-TEST_CASE("The store is lost after it told of the evacuation", "[proxysim][evacuation]") {
+TEST_CASE("The store fails after the daemons have received the evacuation",
+          "[proxysim][evacuation]") {
   const bool silent = GENERATE(false, true);
   EvacuationScenario scenario;
   scenario.Evacuate(scenario.zone);
@@ -323,14 +326,14 @@
   scenario.world.RunUntil(kEvacuatedAt + kEvacuationLimit + seconds(2));
   CHECK_FALSE(scenario.HasPrimaryElsewhere());  // no promotion without the store
   CHECK(scenario.late == 0);
-  // The time to come back differs from caller to caller (src/waiting/come_back.h).
+  // The retry-after time differs from caller to caller (src/waiting/come_back.h).
   CHECK(scenario.RefusedFor("no usable primary"));
   scenario.cluster.Store().faults = {};
   CHECK(scenario.RunUntilPrimaryElsewhere() < kReplacementTimeout);
   scenario.CheckOutcome();
 }
 
-TEST_CASE("The store forgets its history during an evacuation", "[proxysim][evacuation]") {
+TEST_CASE("The store compacts its history during an evacuation", "[proxysim][evacuation]") {
   EvacuationScenario scenario;
   scenario.Evacuate(scenario.zone);
   scenario.cluster.Store().Compact();
@@ -354,7 +357,7 @@
   CHECK(scenario.requests_in_evacuated[daemon.Name()] == 0);
 }
 
-TEST_CASE("An evacuation is taken back while the primary is replaced", "[proxysim][evacuation]") {
+TEST_CASE("An evacuation ends while the primary is replaced", "[proxysim][evacuation]") {
   EvacuationScenario scenario;
   bool taken_back = false;
   scenario.OnStep("fence", [&](const std::string&, const std::string&) {
@@ -365,11 +368,11 @@
   scenario.world.RunUntil(kEvacuatedAt + seconds(3));
   CHECK(taken_back);
   REQUIRE(scenario.group.Primary() != nullptr);
-  CHECK(scenario.group.Primary()->term <= 2);  // not to and fro
+  CHECK(scenario.group.Primary()->term <= 2);  // not promoted back and forth
   scenario.CheckOutcome();
 }
 
-TEST_CASE("All zones evacuated: refused at once, and served again after",
+TEST_CASE("Requests are rejected at once while all zones are evacuated, and served afterwards",
           "[proxysim][evacuation]") {
   EvacuationScenario scenario;
   const std::size_t zones = scenario.cluster.Shape().zones;
--- a/tests/proxysim/planned_stops_test.cc
+++ b/tests/proxysim/planned_stops_test.cc
@@ -1,12 +1,12 @@
-// Days of planned stops alone: each command that a daemon has taken is answered or refused.
+// Tests that with planned stops as the only disturbance each command that a daemon has read is
+// answered or refused.
 //
-// On a day with no fault, callers found their connections closed with a command read and neither
-// an answer nor a refusal. Each time a decision to end had been made on what was known at one
-// moment, and the command came between the decision and its effect: a process had decided to end
-// ("stopped" with sessions_left 0) and took sessions and commands for 150 ms more, or an owner
-// ended a session as resting while its next command was on the link. The days of faults showed
-// none of it: the simulated process ended in the instant of its decision, callers knew at once who
-// was not ready, and nothing held what they saw at a planned stop.
+// Guards against commands that arrive between a decision to end and its effect, and whose
+// connection is closed without an answer or a refusal: a process that has decided to exit
+// ("stopped" with sessions_left 0) and reads sessions and commands for 150 ms more, or an owner
+// that ends a session as idle while its next command is on the link. For this the simulated process
+// ends some time after its decision, callers connect through a load balancer that detects stops
+// late, and AnswerChecker checks every closed session.
 
 #include <catch2/catch.hpp>
 
@@ -16,7 +16,7 @@
 namespace valvekeel::proxysim {
 namespace {
 
-/// Plays one day of planned stops. @return its violations as text.
+/// Runs a scenario of planned stops. @return its violations as text.
 std::string Violations(ScenarioOptions options) {
   options.planned_stops = true;
   const ScenarioResult result = RunScenario(options);
@@ -51,7 +51,8 @@
   }
 }
 
-TEST_CASE("A command without an answer counts beside planned stops alone", "[proxysim][planned]") {
+TEST_CASE("An unanswered command is reported only if planned stops are the only disturbance",
+          "[proxysim][planned]") {
   World world(1);
   AnswerChecker checker(world);
   const UnansweredCommand cut{"a command", {"daemon", "owner"}};
@@ -61,7 +62,7 @@
   world.RunUntil(std::chrono::seconds(4));
   checker.OnPlannedStop();
   checker.OnUnanswered(cut);
-  CHECK(world.Violations().empty());  // its owner was in trouble
+  CHECK(world.Violations().empty());  // its owner has just had a fault
   world.RunUntil(std::chrono::seconds(6));
   checker.OnUnanswered(cut);
   REQUIRE(world.Violations().size() == 1);
@@ -71,7 +72,7 @@
   checker.OnPlannedStop();
   world.RunUntil(std::chrono::seconds(16));
   checker.OnUnanswered(cut);
-  CHECK(world.Violations().size() == 1);  // a way to it is still cut
+  CHECK(world.Violations().size() == 1);  // a link of it is still cut
   world.HealBoth("daemon", "another");
   world.RunUntil(std::chrono::seconds(40));
   checker.OnUnanswered(cut);
--- a/tests/proxysim/restart_test.cc
+++ b/tests/proxysim/restart_test.cc
@@ -1,5 +1,5 @@
-// Instances that start again under their id hold nothing of before: what the daemons knew of the
-// former life must neither be read from nor counted on.
+// Tests of instances that restart under their id without their data: daemons must not use what they
+// observed of the former incarnation, neither for reads nor for promotions.
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -18,7 +18,7 @@
 constexpr std::size_t kSessions = 40;
 constexpr Duration kServingAt = seconds(6);
 
-/// A deployment of one group that serves.
+/// A deployment of one group, with callers.
 struct RestartScenario {
   explicit RestartScenario(const proxy::Mechanisms& mechanisms, std::uint64_t seed)
       : cluster(seed, ShapeOf(mechanisms)),
@@ -63,8 +63,8 @@
   std::unique_ptr<Callers> callers;
 };
 
-/// The replica that alone holds the newest commits starts again with nothing, and the primary dies.
-/// @return how often a promotion lost a commit.
+/// The only replica with the newest commits restarts without its data, and the primary crashes.
+/// @return the number of commits lost by a promotion.
 std::size_t CommitsLost(const proxy::Mechanisms& mechanisms) {
   RestartScenario scenario(mechanisms, 3);
   const std::vector<std::string> replicas = scenario.Replicas();
@@ -78,8 +78,8 @@
   return scenario.CountViolations("LOST");
 }
 
-/// The primary starts again at once, with nothing, and takes itself for the primary of its term.
-/// @return how often a read missed a commit.
+/// The primary restarts at once without its data, as the primary of its former term.
+/// @return the number of reads that missed a commit.
 std::size_t StaleReads(const proxy::Mechanisms& mechanisms) {
   RestartScenario scenario(mechanisms, 4);
   const std::string primary = scenario.group.Primary()->id;
@@ -90,14 +90,14 @@
 
 }  // namespace
 
-TEST_CASE("What a restarted replica held alone is not taken for held by none", "[proxysim]") {
+TEST_CASE("Commits that only a restarted replica had are not taken for nonexistent", "[proxysim]") {
   CHECK(CommitsLost({}) == 0);
   proxy::Mechanisms without;
   without.instance_lives = false;
   CHECK(CommitsLost(without) > 0);
 }
 
-TEST_CASE("A primary that starts again with nothing is not read from, and is replaced",
+TEST_CASE("A primary that restarts without its data serves no reads and is replaced",
           "[proxysim]") {
   CHECK(StaleReads({}) == 0);
   proxy::Mechanisms without;
@@ -114,7 +114,8 @@
   CHECK(scenario.CountViolations("LOST") == 0);
 }
 
-TEST_CASE("A replica that starts again is caught up, and the group goes on", "[proxysim]") {
+TEST_CASE("A replica that restarts without its data catches up, and the group keeps serving",
+          "[proxysim]") {
   RestartScenario scenario({}, 5);
   for (const std::string& id : scenario.Replicas()) {
     scenario.group.RestartEmpty(id, false);
--- a/tests/proxysim/scenario_test.cc
+++ b/tests/proxysim/scenario_test.cc
@@ -10,7 +10,7 @@
 namespace valvekeel::proxysim {
 namespace {
 
-/// Plays a day. @return its violations as text.
+/// Runs a scenario. @return its violations as text.
 std::string Violations(const ScenarioOptions& options) {
   std::string text;
   for (const Violation& violation : RunScenario(options).violations) {
@@ -23,7 +23,7 @@
 constexpr std::uint64_t kLargeSeeds = 6;
 constexpr std::uint64_t kMaxSeedsWithoutMechanism = 300;
 
-/// @return the first seed whose day breaks the rule without the mechanism, 0 if there is none.
+/// @return the first seed that violates the rule with these mechanisms, 0 if there is none.
 std::uint64_t FirstViolatingSeed(const std::string& rule, const proxy::Mechanisms& mechanisms) {
   for (std::uint64_t seed = 1; seed <= kMaxSeedsWithoutMechanism; ++seed) {
     ScenarioOptions options;
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_CASE("Faulty days of the standard deployment keep every rule", "[proxysim]") {
+TEST_CASE("Random faults in the standard deployment violate no rule", "[proxysim]") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ScenarioOptions options;
     options.seed = seed;
@@ -50,7 +50,8 @@
   }
 }
 
-TEST_CASE("Instances that start again under their id, with nothing, break no rule", "[proxysim]") {
+TEST_CASE("Instances that restart under their id without their data violate no rule",
+          "[proxysim]") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ScenarioOptions options;
     options.seed = seed;
@@ -61,7 +62,7 @@
   }
 }
 
-TEST_CASE("Faulty days of drawn deployments keep every rule", "[proxysim]") {
+TEST_CASE("Random faults in randomly drawn deployments violate no rule", "[proxysim]") {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ScenarioOptions options;
     options.seed = seed;
@@ -72,7 +73,7 @@
   }
 }
 
-TEST_CASE("Faulty days of large deployments keep every rule", "[proxysim]") {
+TEST_CASE("Random faults in large deployments violate no rule", "[proxysim]") {
   std::size_t relayed = 0;
   for (std::uint64_t seed = 1; seed <= kLargeSeeds; ++seed) {
     ScenarioOptions options;
@@ -87,8 +88,8 @@
   CHECK(relayed > 0);
 }
 
-TEST_CASE("Seeds that broke a rule once keep it now", "[proxysim]") {
-  // 27: a replica came back unfenced between fence and promotion (LOST).
+TEST_CASE("Regression seeds of the standard deployment violate no rule", "[proxysim]") {
+  // 27: a replica restarts unfenced between fence and promotion (LOST).
   for (const std::uint64_t seed : {27}) {
     ScenarioOptions options;
     options.seed = seed;
@@ -97,8 +98,8 @@
   }
 }
 
-TEST_CASE("Drawn seeds that broke a rule once keep it now", "[proxysim]") {
-  // 360: a primary came back under another id after all daemons had let go of its term (RECOVER).
+TEST_CASE("Regression seeds of drawn deployments violate no rule", "[proxysim]") {
+  // 360: a primary restarts under another id after all daemons have released its term (RECOVER).
   for (const std::uint64_t seed : {360}) {
     ScenarioOptions options;
     options.seed = seed;
@@ -109,7 +110,7 @@
   }
 }
 
-TEST_CASE("Without a mechanism its checker fails", "[proxysim]") {
+TEST_CASE("Without a mechanism its rule is violated", "[proxysim]") {
   proxy::Mechanisms no_lease;
   no_lease.read_lease = false;
   CHECK(FirstViolatingSeed("STALE", no_lease) != 0);
@@ -127,7 +128,7 @@
   CHECK(FirstViolatingSeed("TWICE", sent_again) != 0);
 }
 
-TEST_CASE("Keys taken away or passed on are served for their tenant, and no longer than allowed",
+TEST_CASE("Revoked or reassigned keys are served for their tenant, and no longer than allowed",
           "[proxysim][tenants]") {
   constexpr std::uint64_t kSeeds = 12;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -143,7 +144,7 @@
   }
 }
 
-TEST_CASE("Without a mechanism of the tenants its checker fails", "[proxysim][tenants]") {
+TEST_CASE("Without a mechanism of the tenants the rule KEY is violated", "[proxysim][tenants]") {
   const auto first_violating_seed = [](bool key_proof, const proxy::Mechanisms& mechanisms) {
     constexpr std::uint64_t kMaxSeeds = 400;
     for (std::uint64_t seed = 1; seed <= kMaxSeeds; ++seed) {
@@ -167,7 +168,7 @@
   CHECK(first_violating_seed(true, shared_connections) != 0);
 }
 
-TEST_CASE("Zones are evacuated in faulty days, and nothing reaches them too late",
+TEST_CASE("No request reaches an evacuated zone after the limit under random faults",
           "[proxysim][evacuation]") {
   constexpr std::uint64_t kSeeds = 12;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -182,7 +183,7 @@
   }
 }
 
-TEST_CASE("Without the bound of an evacuation its checker fails", "[proxysim][evacuation]") {
+TEST_CASE("Without the evacuation bound only the rule EVAC is violated", "[proxysim][evacuation]") {
   std::set<std::string> broken;
   constexpr std::uint64_t kMaxSeeds = 12;
   for (std::uint64_t seed = 1; seed <= kMaxSeeds; ++seed) {
@@ -197,7 +198,7 @@
   CHECK(broken == std::set<std::string>{"EVAC"});
 }
 
-TEST_CASE("Instances that start are spared on faulty days, small and large",
+TEST_CASE("Starting instances get few requests under random faults, in small and large deployments",
           "[proxysim][warm_up]") {
   constexpr std::uint64_t kSeeds = 12;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -213,7 +214,7 @@
   }
 }
 
-TEST_CASE("Without the limit for instances that start its checker fails", "[proxysim][warm_up]") {
+TEST_CASE("Without the warm-up limit the rule FAILBACK is violated", "[proxysim][warm_up]") {
   ScenarioOptions options;
   options.warm_up = true;
   options.faults = 10;
@@ -221,9 +222,9 @@
   CHECK(Violations(options).find("FAILBACK") != std::string::npos);
 }
 
-TEST_CASE("Large days that sent too much to a starting instance once do so no more",
+TEST_CASE("Regression seeds of warm-up in large deployments violate no rule",
           "[proxysim][warm_up]") {
-  // 13, 14: an instance that was lost while cold told the same time left when it started again.
+  // 13, 14: an instance that is lost while cold reports the same remaining time when it restarts.
   for (const std::uint64_t seed : {13, 14}) {
     ScenarioOptions options;
     options.seed = seed;
@@ -235,10 +236,10 @@
   }
 }
 
-TEST_CASE("Seeds with regions that broke a rule once keep it now", "[proxysim][regions]") {
-  // 42, 73: connections whose BEGIN was refused stayed taken (RECOVER); 42 also: a replacement by
-  // plan was tried at the pace of a lost primary. 146: a given-up replacement cleared the record's
-  // word on one that was done (STALE).
+TEST_CASE("Regression seeds with regions violate no rule", "[proxysim][regions]") {
+  // 42, 73: connections whose BEGIN is refused stay occupied (RECOVER); 42 also: a planned
+  // promotion is retried as often as the replacement of a lost primary. 146: an abandoned promotion
+  // clears the record's entry of a completed one (STALE).
   for (const std::uint64_t seed : {42, 73, 146}) {
     ScenarioOptions options;
     options.seed = seed;
@@ -248,7 +249,7 @@
     INFO("seed " << seed);
     CHECK(Violations(options).empty());
   }
-  // 1097: a given-up replacement cleared the record's word on an earlier one (STALE).
+  // 1097: an abandoned promotion clears the record's entry of an earlier one (STALE).
   ScenarioOptions heavy;
   heavy.seed = 1097;
   heavy.faults = 16;
@@ -256,7 +257,7 @@
   heavy.tenants = true;
   heavy.regions = true;
   CHECK(Violations(heavy).empty());
-  // 83: daemons that don't connect to a group counted replicas that had ended (RECOVER).
+  // 83: daemons that don't connect to a group count terminated replicas (RECOVER).
   ScenarioOptions options;
   options.seed = 83;
   options.faults = 8;
@@ -266,7 +267,7 @@
   CHECK(Violations(options).empty());
 }
 
-TEST_CASE("Work stays in its regions while these change and are cut off from each other",
+TEST_CASE("Work stays in its allowed regions while limits change and regions are cut off",
           "[proxysim][regions]") {
   constexpr std::uint64_t kRegionSeeds = 12;
   std::size_t relayed = 0;
@@ -286,8 +287,8 @@
   CHECK(relayed > 0);
 }
 
-TEST_CASE("Without regions in the decisions their checker fails", "[proxysim][regions]") {
-  // At an instance and at a daemon that holds a request alike.
+TEST_CASE("Without the region mechanism the rule HOME is violated", "[proxysim][regions]") {
+  // For requests run at an instance as well as for those queued at a daemon.
   for (const std::string where : {"run in", "held in"}) {
     ScenarioOptions options;
     options.seed = 4;
@@ -302,7 +303,7 @@
   }
 }
 
-TEST_CASE("Primaries outside their regions are replaced before traffic, and then stay",
+TEST_CASE("Primaries outside their regions are replaced once before traffic starts",
           "[proxysim][regions]") {
   constexpr std::uint64_t kMaxSeeds = 8;
   constexpr common::Duration kBeforeTraffic{14'000'000};
@@ -344,17 +345,17 @@
   CHECK(replaced > 0);
 }
 
-TEST_CASE("A replacement by plan that can't succeed is tried less and less often",
+TEST_CASE("A planned promotion that can't succeed is retried less and less often",
           "[proxysim][regions]") {
   ClusterShape shape;
   shape.zones = 2;
   shape.regions = 2;
   shape.groups = 1;
-  shape.group.instances = 6;  // so that both regions have some
+  shape.group.instances = 6;  // so that both regions have instances
   Cluster cluster(1, shape);
   World& world = cluster.SimWorld();
   world.RunUntil(std::chrono::seconds(4));
-  // One replica stands in the region, and it lacks a commit of the primary outside.
+  // Replicas in the region lack a commit of the primary, which is outside.
   DatabaseGroup& group = *cluster.Groups().at("group0");
   const std::string primary = group.Primary()->id;
   const std::string outside = cluster.Regions().at(cluster.ZoneOfInstance(primary));
@@ -377,11 +378,10 @@
   world.RunUntil(std::chrono::seconds(36));
   CHECK(group.Primary()->id == primary);
   CHECK(started > 0);
-  CHECK(started < 40);  // of six daemons in 30 s; without longer pauses about 100
+  CHECK(started < 40);  // six daemons, 30 s; about 100 if the retry interval did not grow
 }
 
-TEST_CASE("While its region is cut off, work that may run elsewhere goes on",
-          "[proxysim][regions]") {
+TEST_CASE("Work in a region goes on while the other region is cut off", "[proxysim][regions]") {
   ClusterShape shape;
   shape.zones = 2;
   shape.regions = 2;
@@ -413,7 +413,7 @@
     }
   }
   world.RunUntil(std::chrono::seconds(24));
-  // Half of the daemons can't reach the region: their callers are refused, the others are served.
+  // Half of the daemons can't reach the region: their callers are rejected, the others are served.
   std::size_t begun = 0;
   std::size_t succeeded = 0;
   for (std::size_t second = 14; second < 22; ++second) {
@@ -427,7 +427,7 @@
   }
 }
 
-TEST_CASE("The same seed gives the same day", "[proxysim]") {
+TEST_CASE("The same seed gives the same result", "[proxysim]") {
   ScenarioOptions options;
   options.seed = 5;
   options.faults = 12;
@@ -438,7 +438,7 @@
   CHECK(first.promotions > 0);
 }
 
-TEST_CASE("A day without faults serves everything", "[proxysim]") {
+TEST_CASE("Without faults all operations succeed", "[proxysim]") {
   ScenarioOptions options;
   options.seed = 3;
   options.faults = 0;
--- a/tests/proxysim/store_restore_test.cc
+++ b/tests/proxysim/store_restore_test.cc
@@ -1,12 +1,13 @@
-// In a deployment of 67 daemons a new route was refused as "unknown database" 5.04 s after the
-// store had acknowledged its version. Seconds before, the store had been away and had come back
-// from a copy some seconds old, which gives revisions out again: the new version stood at a
-// revision that daemons knew already. They passed it over in a list ("older state"), in the news of
-// other daemons ("nothing newer"), and by a watch from that same revision. What settled it: in the
-// simulator all daemons wait on a watch from revision 18 that was lost ("store_call_failed
-// call=watch after_ms=3700"), version 3 gets revision 18 meanwhile, and the next version is the
-// first that they see; daemons of a real deployment that list on news stayed silent while
-// revisions 72 to 74 came, 74 being known, and called at once at 75.
+// Tests that daemons apply new configurations after the store was restored from an older copy.
+//
+// Guards against a new route that is refused as "unknown database" more than 5 s after the store
+// acknowledged its version. After a restore the store uses revisions a second time, so a new
+// version may have a revision that daemons have already seen. They then ignore it in a list ("older
+// state"), in updates from other daemons ("nothing newer"), and in a watch from that same revision.
+// Example: all daemons wait on a lost watch from revision 18 ("store_call_failed call=watch
+// after_ms=3700"), version 3 gets revision 18 meanwhile, and the next version is the first that
+// they see. Likewise daemons that list on updates and have seen revision 74 do nothing for the new
+// revisions 72 to 74 and make a call only at 75.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -27,8 +28,7 @@
   return shape;
 }
 
-/// Writes three versions, then the store goes away and returns from a copy in which they are
-/// missing.
+/// Writes three versions; then the store fails and is restored from a copy without them.
 void LoseVersions(Cluster& cluster, common::Duration outage) {
   World& world = cluster.SimWorld();
   world.RunUntil(seconds(12));
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("Versions written after the store returned from an older copy are in force in time",
+TEST_CASE("Versions written after the store was restored from an older copy are in force in time",
           "[proxysim]") {
   for (const std::size_t daemons : {6U, 67U}) {
     for (const auto outage : {milliseconds(100), milliseconds(700), milliseconds(2'900)}) {
@@ -90,14 +90,14 @@
 
 }  // namespace
 
-TEST_CASE("No version is missed whose revision the store gives out a second time", "[proxysim]") {
+TEST_CASE("A version whose revision the store uses a second time is not missed", "[proxysim]") {
   for (const std::uint64_t seed : {6U, 24U, 110U}) {
     INFO("seed " << seed);
     CHECK(Count(RunWithRestores(seed), "CONFIG") == 0);
   }
 }
 
-TEST_CASE("A daemon that starts after a return does not take an evacuated zone for in use",
+TEST_CASE("A daemon that starts after a restore does not send requests to an evacuated zone",
           "[proxysim]") {
   ScenarioOptions options;
   options.seed = 4019;
@@ -107,10 +107,10 @@
   CHECK(Count(RunScenario(options), "EVAC") == 0);
 }
 
-TEST_CASE("No token is given out a second time after the store returned from an older copy",
+TEST_CASE("No promotion token is used twice after the store was restored from an older copy",
           "[proxysim]") {
-  // The record of who may promote had gone back with the store, and its token with it: the next
-  // holder counted on from there ("ONE: two holders of token 1").
+  // The leadership record is restored with its token, and the next holder must not continue from
+  // that token ("ONE: two holders of token 1").
   for (const std::uint64_t seed : {28U, 38U, 58U, 82U}) {
     INFO("seed " << seed);
     CHECK(Count(RunWithRestores(seed), "ONE") == 0);
--- a/tests/proxysim/warm_up_test.cc
+++ b/tests/proxysim/warm_up_test.cc
@@ -1,4 +1,4 @@
-// A primary that has just started, on simulated time.
+// Tests of a primary that has just started, on simulated time.
 
 #include <catch2/catch.hpp>
 
@@ -18,7 +18,7 @@
   return shape;
 }
 
-/// A deployment with callers that notes why primaries were replaced.
+/// A deployment with callers that records the reasons for replacing primaries.
 struct ColdCluster {
   explicit ColdCluster(const ClusterShape& shape) : cluster(1, shape) {
     cluster.on_log = [this](const std::string&, const proxy::LogEvent& event) {
@@ -53,18 +53,18 @@
   const std::string primary = cold.Group().Primary()->id;
   const common::Term term = cold.Group().Primary()->term;
   cold.Group().Crash(primary, false);
-  cold.Group().Restart(primary);  // at once: nobody could replace it as lost
+  cold.Group().Restart(primary);  // at once, before it can be replaced as lost
   cold.Run(std::chrono::seconds(4));
   CHECK(cold.Group().Primary()->id != primary);
   CHECK(cold.Group().Primary()->term == term + 1);
   CHECK(cold.reasons["cold"] > 0);
-  // It stays so when the former primary is warm.
+  // The replica stays primary when the former primary is warm.
   cold.Run(std::chrono::seconds(12));
   CHECK(cold.Group().Primary()->term == term + 1);
   CHECK(cold.cluster.SimWorld().Violations().empty());
 }
 
-TEST_CASE("A cold primary among cold replicas stays", "[proxysim][warm_up]") {
+TEST_CASE("A cold primary is not replaced if all replicas are cold", "[proxysim][warm_up]") {
   ColdCluster cold(ColdShape());
   const std::string primary = cold.Group().Primary()->id;
   const common::Term term = cold.Group().Primary()->term;
