--- a/src/proxysim/database_group.h
+++ b/src/proxysim/database_group.h
@@ -101,6 +101,7 @@
   /// not running.
   bool Promote(const std::string& instance);
 
+  /// Ends an instance. @param silent daemons get no reset of their connections.
   void Crash(const std::string& instance, bool silent);
   void Restart(const std::string& instance);
 
