--- a/src/proxysim/cluster.h
+++ b/src/proxysim/cluster.h
@@ -38,7 +38,7 @@
   tenants::tenant_policy tenancy;        // applies if there are tenants
   common::Duration evacuation_limit{0};  // 0: no zone is evacuated
   bool first_start = false;              // the whole deployment starts for the first time
-  bool use_load_balancer = false;        // it detects stops of daemons late
+  bool use_load_balancer = false;        // callers connect through it; it detects stops late
   bool record_load = false;              // records the daemons' load for replay
   bool encode_messages = false;          // encodes heartbeats to count their bytes
   bool check_configuration = false;      // reports daemons that apply a version too late
