--- a/src/proxysim/database_group.h
+++ b/src/proxysim/database_group.h
@@ -1,7 +1,7 @@
 // A simulated group of instances with a replicated log, fences, demotion and promotion.
 //
-// Owns: the instances, their logs and their connections. Invariant: positions of a log grow by one;
-// two logs with the same entry at a position agree on all before it. Thread: one.
+// Owns: the instances, their logs and their connections. Invariant: positions of a log increase by
+// one; two logs with the same entry at a position agree on all entries before it. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 #include "model/catalog.h"
 #include "model/reply.h"
 #include "model/request.h"
-#include "proxysim/cold_arrivals.h"
+#include "proxysim/cold_request_counter.h"
 #include "proxysim/history.h"
 #include "proxysim/key_history.h"
 #include "proxysim/world.h"
@@ -27,25 +27,25 @@
 /// A commit in a log.
 struct LogEntry {
   common::Term term = 0;
-  std::string id;  // of the caller's attempt
+  std::string id;  // request id of the caller's attempt
 };
 
-/// Time from a key's removal until no daemon may serve it.
+/// Maximum time from a key's removal until no daemon serves it any more.
 inline constexpr common::Duration kRevocationLimit{5'000'000};
 
-/// One connection as its instance sees it.
+/// The instance's side of a connection.
 struct ServerConnection {
   std::string daemon;
-  std::string tenant;                               // that the connection was opened for
-  std::function<void(const model::Reply&)> answer;  // carries a reply back to the daemon
-  std::function<void()> reset;                      // tells the daemon that it is gone
+  std::string tenant;                               // for which the connection was opened
+  std::function<void(const model::Reply&)> answer;  // sends a reply to the daemon
+  std::function<void()> reset;  // reports to the daemon that the connection is closed
   std::map<std::string, std::string> values;
   std::map<std::string, model::PreparedStatement> prepared;
   model::TransactionState state = model::TransactionState::kIdle;
   bool read_only = false;
   bool began_as_primary = false;
   std::uint64_t session = 0;  // of the transaction
-  std::string writer;         // attempt that wrote in the transaction, empty if none
+  std::string writer;  // request id of the attempt that wrote in the transaction, empty if none
   std::deque<model::InstanceRequest> queue;
   bool busy = false;
 };
@@ -58,26 +58,26 @@
   common::Term term = 1;
   common::Term fenced_term = 0;
   std::vector<LogEntry> log;
-  std::size_t applied = 0;  // entries that reads see
+  std::size_t applied = 0;  // number of entries visible to reads
   common::Duration lag{8'000};
-  bool deaf = false;  // receives nothing
+  bool replication_blocked = false;  // receives no log entries
   std::map<std::uint64_t, ServerConnection> connections;
-  std::size_t running = 0;
+  std::size_t running_requests = 0;
   common::Instant cold_until{0};
-  std::uint64_t incarnation = 1;  // of its present life
+  std::uint64_t incarnation = 1;  // increases when it restarts without its data
 };
 
 /// Limits of a simulated group.
 struct GroupShape {
   std::size_t instances = 3;
   std::size_t slots = 3;
-  std::size_t queue = 24;
-  std::size_t most_connections = 34;
+  std::size_t queue_limit = 24;
+  std::size_t max_connections = 34;
   std::uint32_t sync_replicas = 1;
-  common::Duration promote_time{300'000};
-  model::WarmUp warm_up;         // of instances that start while the day runs; off by default
-  warm_up::tolerance tolerated;  // beyond its rate
-  /// A primary that comes back sends its log to replicas at once; else with its next commit.
+  common::Duration promotion_time{300'000};
+  model::WarmUp warm_up;         // of instances that start during the run; off by default
+  warm_up::tolerance tolerance;  // requests allowed beyond the warm-up rate
+  /// A restarted primary sends its log to the replicas at once; otherwise with its next commit.
   bool sends_log_at_restart = false;
 };
 
@@ -90,73 +90,76 @@
   std::map<std::string, SimulatedInstance>& Instances() { return instances_; }
   SimulatedInstance* Primary();
 
-  /// Opens a connection. @return the reason if it is not taken.
+  /// Opens a connection. @return the error if it is rejected.
   std::optional<model::ErrorCode> Connect(const std::string& instance, std::uint64_t number,
                                           ServerConnection connection);
   void Disconnect(const std::string& instance, std::uint64_t number);
   void Request(const std::string& instance, std::uint64_t number,
                const model::InstanceRequest& request);
 
-  /// Makes the instance lead the next term after a while. @return false if it does not run.
+  /// Makes the instance the primary of the next term after promotion_time. @return false if it is
+  /// not running.
   bool Promote(const std::string& instance);
 
+  /// Ends an instance. @param silent daemons get no reset of their connections.
   void Crash(const std::string& instance, bool silent);
   void Restart(const std::string& instance);
 
-  /// An instance starts again under its id, with nothing of before. @param leads it takes itself
-  /// for the primary of the term that it was started with, else for a replica.
-  void RestartAnew(const std::string& instance, bool leads);
+  /// Restarts an instance under its id without its data. @param leads it starts as the primary of
+  /// its former term, otherwise as a replica.
+  void RestartEmpty(const std::string& instance, bool leads);
 
-  /// A crashed instance comes back with its log under another id.
-  void RestartAs(const std::string& instance, const std::string& id);
+  /// Restarts a crashed instance with its log under another id.
+  void RestartRenamed(const std::string& instance, const std::string& id);
   void AddReplica(const std::string& id);
   void RemoveInstance(const std::string& id);
 
-  /// Part of the answers of the primary that are lost from now on.
-  void SetLostAnswers(double share) {
-    world_.NoteTrouble(service_);
+  /// Sets the share of the primary's answers that are lost from now on.
+  void SetLostAnswerShare(double share) {
+    world_.RecordFault(service_);
     lost_answers_ = share;
   }
 
-  /// Told when the list of instances or what they say of themselves changes.
-  const KeyHistory* keys = nullptr;  // checked against, if set
+  const KeyHistory* keys = nullptr;  // against which keys are checked, if set
+  /// Called when the set of instances or the state that they report changes.
   std::function<void()> on_change;
-  /// Told of each of the callers' requests that arrives, if set.
-  std::function<void(const std::string& instance, const std::string& daemon)> on_work;
+  /// Called for each caller's request that arrives, if set.
+  std::function<void(const std::string& instance, const std::string& daemon)> on_request;
 
  private:
   struct PendingCommit {
     std::size_t index = 0;
-    std::set<std::string> held_by;
+    std::set<std::string> replicas;
     std::function<void()> done;
     std::string instance;
   };
 
-  /// The instance starts now.
-  void MakeCold(SimulatedInstance& instance);
-  /// Checks how many callers' requests a cold instance gets.
-  void CheckCold(const SimulatedInstance& instance, const model::InstanceRequest& request);
+  /// Begins the warm-up of an instance that starts now.
+  void StartWarmUp(SimulatedInstance& instance);
+  /// Checks the number of callers' requests that a cold instance receives (FAILBACK).
+  void CheckWarmUpLimit(const SimulatedInstance& instance, const model::InstanceRequest& request);
   void RunNext(SimulatedInstance& instance, std::uint64_t number);
   void Execute(const std::string& instance, std::uint64_t number,
                const model::InstanceRequest& request);
-  void Finish(const std::string& instance, std::uint64_t number, model::Reply reply);
-  model::Reply Control(SimulatedInstance& instance, ServerConnection& connection,
-                       const model::ControlRequest& request);
-  model::Reply Session(SimulatedInstance& instance, ServerConnection& connection,
-                       const model::SessionRequest& request);
+  void SendReply(const std::string& instance, std::uint64_t number, model::Reply reply);
+  model::Reply ExecuteControl(SimulatedInstance& instance, ServerConnection& connection,
+                              const model::ControlRequest& request);
+  model::Reply ExecuteSession(SimulatedInstance& instance, ServerConnection& connection,
+                              const model::SessionRequest& request);
   void CheckConnection(const SimulatedInstance& instance, const ServerConnection& connection,
                        const CallerAttempt& attempt);
-  /// Checks that the connection's tenant has, or had not long ago, the caller's key.
+  /// Checks that the caller's key belongs to the connection's tenant, or did within
+  /// kRevocationLimit.
   void CheckKey(const ServerConnection& connection, const CallerAttempt& attempt);
   void CheckRead(const SimulatedInstance& instance, const CallerAttempt& attempt);
   void Commit(SimulatedInstance& instance, std::uint64_t number, const std::string& id);
   void Replicate(const std::string& from);
-  void Receive(const std::string& from, const std::string& to);
-  void Lead(const std::string& id);
+  void ReceiveLog(const std::string& from, const std::string& to);
+  void BecomePrimary(const std::string& id);
   void TruncateTo(SimulatedInstance& instance, const SimulatedInstance& leader);
-  bool Holds(const SimulatedInstance& instance, const AcknowledgedCommit& commit,
-             std::size_t entries) const;
-  model::Reply Error(const ServerConnection& connection, model::ErrorCode code) const;
+  bool LogContains(const SimulatedInstance& instance, const AcknowledgedCommit& commit,
+                   std::size_t entries) const;
+  model::Reply ErrorReply(const ServerConnection& connection, model::ErrorCode code) const;
   common::Position PositionOf(const SimulatedInstance& instance, std::size_t entries) const;
   model::InstanceStatus StatusOf(const SimulatedInstance& instance) const;
 
@@ -167,7 +170,7 @@
   std::map<std::string, SimulatedInstance> instances_;
   std::vector<PendingCommit> pending_;
   double lost_answers_ = 0;
-  ColdArrivals cold_arrivals_;
+  ColdRequestCounter cold_requests_;
 };
 
 }  // namespace valvekeel::proxysim
