--- a/src/host/proxy_host.cc
+++ b/src/host/proxy_host.cc
@@ -113,7 +113,7 @@
 void ProxyHost::DropClosedStreams() {
   // Each stream holds 8 KB, which must not stay allocated after a burst of sessions.
   if (streams_.size() > callers_.size() + kStreamsBeforeCleanup) {
-    std::erase_if(streams_, [](const auto& each) { return !each->Open(); });
+    std::erase_if(streams_, [](const auto& each) { return !each->IsOpen(); });
   }
 }
 
--- a/src/host/proxy_host_actions.cc
+++ b/src/host/proxy_host_actions.cc
@@ -105,9 +105,9 @@
   connection.stream->Connect(
       action.address, settings_.connect_timeout,
       [this, number, action] { OnInstanceConnected(number, action); },
-      [this, number](net::ConnectFault fault) {
+      [this, number](net::ConnectError fault) {
         FailConnection(number,
-                       fault == net::ConnectFault::kRefused ? proxy::OpenFailure::kRefused
+                       fault == net::ConnectError::kRefused ? proxy::OpenFailure::kRefused
                                                             : proxy::OpenFailure::kTimedOut,
                        model::ErrorCode::kFailed);
       });
@@ -286,7 +286,7 @@
   // One request per connection. If they stay open, the connections of 100 daemons use up all that a
   // hub serves at once, and most daemons of a zone get a changed configuration 5 to 8 s later, from
   // the store.
-  request.headers = {net::kCloseAfterAnswer};
+  request.headers = {net::kCloseAfterResponse};
   const common::Duration timeout =
       configuration_only ? kConfigurationFetchTimeout : kCatalogFetchTimeout;
   client->Call(request, timeout, [=, this](const net::HttpResult& result) {
@@ -327,7 +327,7 @@
 
 void ProxyHost::ExitWhenFlushed(common::Instant limit) {
   const bool sent = std::none_of(streams_.begin(), streams_.end(),
-                                 [](const auto& stream) { return stream->Open(); });
+                                 [](const auto& stream) { return stream->IsOpen(); });
   const bool logged = log_.Flush();
   if ((sent && logged) || common::SteadyNow() >= limit) {
     LogExit();
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -119,13 +119,13 @@
   exchange->timer.expires_after(timeout);
   exchange->timer.async_wait([exchange](const asio::error_code& cancelled) {
     if (!cancelled) {
-      Finish(exchange, exchange->sent ? HttpFault::kNoAnswer : HttpFault::kNotSent);
+      Finish(exchange, exchange->sent ? HttpError::kNoAnswer : HttpError::kNotSent);
     }
   });
   while (!idle_->empty()) {
     const std::shared_ptr<Connection> connection = idle_->back();
     idle_->pop_back();
-    if (connection->stream->Open()) {
+    if (connection->stream->IsOpen()) {
       exchange->connection = connection;
       connection->exchange = exchange;
       Send(exchange);
@@ -154,7 +154,7 @@
               }
               if (!reading->parser.Feed(bytes)) {
                 if (reading->exchange) {
-                  Finish(reading->exchange, HttpFault::kNoAnswer);
+                  Finish(reading->exchange, HttpError::kNoAnswer);
                 }
                 reading->stream->Close();
                 return;
@@ -180,15 +180,15 @@
             [weak] {
               const auto ended = weak.lock();
               if (ended && ended->exchange) {
-                Finish(ended->exchange, HttpFault::kNoAnswer);
+                Finish(ended->exchange, HttpError::kNoAnswer);
               }
             });
         Send(opened->exchange);
       },
-      [weak](ConnectFault) {
+      [weak](ConnectError) {
         const auto failed = weak.lock();
         if (failed && failed->exchange) {
-          Finish(failed->exchange, HttpFault::kNotSent);
+          Finish(failed->exchange, HttpError::kNotSent);
         }
       });
 }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -25,7 +25,7 @@
 namespace valvekeel::net {
 
 /// Asks the server to end the connection with its answer: for a client that calls once.
-inline const std::pair<std::string, std::string> kCloseAfterAnswer{"Connection", "close"};
+inline const std::pair<std::string, std::string> kCloseAfterResponse{"Connection", "close"};
 
 struct HttpRequest {
   std::string method = "GET";
@@ -35,12 +35,12 @@
 };
 
 /// Why a call has no answer.
-enum class HttpFault {
+enum class HttpError {
   kNotSent,   // no connection: nothing was done
   kNoAnswer,  // sent, so it may have been done
 };
 
-using HttpResult = common::Result<HttpResponse, HttpFault>;
+using HttpResult = common::Result<HttpResponse, HttpError>;
 using HttpHandler = std::function<void(const HttpResult&)>;
 
 /// Calls one server; connections are kept and used again.
--- a/src/net/stream.cc
+++ b/src/net/stream.cc
@@ -47,7 +47,7 @@
     socket_.open(asio::ip::tcp::v4(), error);
   }
   if (error) {
-    asio::post(timer_.get_executor(), [failed] { failed(ConnectFault::kRefused); });
+    asio::post(timer_.get_executor(), [failed] { failed(ConnectError::kRefused); });
     return;
   }
   open_ = true;
@@ -60,7 +60,7 @@
     }
     *done = true;
     self->Close();
-    failed(ConnectFault::kTimedOut);
+    failed(ConnectError::kTimedOut);
   });
   socket_.async_connect({host, address.port}, [self, done, connected = std::move(connected),
                                                failed](const asio::error_code& fault) {
@@ -74,7 +74,7 @@
     }
     if (fault) {
       self->Close();
-      failed(ConnectFault::kRefused);
+      failed(ConnectError::kRefused);
       return;
     }
     self->ApplyOptions();
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -22,17 +22,17 @@
 
 /// Longest time for the other side to take the last answers: as for callers, whose longest
 /// deadlines are seconds.
-inline constexpr std::chrono::milliseconds kFlushLimit{10'000};
+inline constexpr std::chrono::milliseconds kCloseFlushTimeout{10'000};
 
 /// Why a connection could not be opened.
-enum class ConnectFault { kRefused, kTimedOut };
+enum class ConnectError { kRefused, kTimedOut };
 
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
   using BytesHandler = std::function<void(std::string_view)>;
   using ClosedHandler = std::function<void()>;
   using ConnectedHandler = std::function<void()>;
-  using ConnectFailedHandler = std::function<void(ConnectFault)>;
+  using ConnectFailedHandler = std::function<void(ConnectError)>;
 
   /// Takes over an accepted socket.
   Stream(asio::io_context& loop, asio::ip::tcp::socket socket);
@@ -55,12 +55,12 @@
   /// Reads no more, and ends the connection once the other side has what was sent. The closed
   /// handler is not called any more. @param limit longest time for that: the other side may never
   /// read.
-  void CloseAfterFlush(std::chrono::milliseconds limit = kFlushLimit);
+  void CloseAfterFlush(std::chrono::milliseconds limit = kCloseFlushTimeout);
 
   /// Ends the connection at once.
   void Close();
 
-  bool Open() const { return open_; }
+  bool IsOpen() const { return open_; }
 
   /// @return why the connection ended, in words for a log; empty if this side ended it.
   const std::string& EndReason() const { return end_reason_; }
--- a/src/relay_link/owner_link.cc
+++ b/src/relay_link/owner_link.cc
@@ -99,8 +99,8 @@
                               [shared] { shared->end(shared->stream->EndReason()); });
         shared->stream->Send(std::exchange(shared->unsent, {}));
       },
-      [shared](net::ConnectFault fault) {
-        shared->end(fault == net::ConnectFault::kRefused ? "not connected: refused"
+      [shared](net::ConnectError fault) {
+        shared->end(fault == net::ConnectError::kRefused ? "not connected: refused"
                                                          : "not connected: timed out");
       });
 }
--- a/tests/net/http_test.cc
+++ b/tests/net/http_test.cc
@@ -75,7 +75,7 @@
   HttpClient client(loop, {"127.0.0.1", server.Port()});
   const HttpResult result = CallAndWait(loop, client, {});
   REQUIRE_FALSE(IsOk(result));
-  CHECK(ErrorOf(result) == HttpFault::kNoAnswer);
+  CHECK(ErrorOf(result) == HttpError::kNoAnswer);
 }
 
 TEST_CASE("A call to a port that nobody listens on was not sent", "[net]") {
@@ -86,7 +86,7 @@
   HttpClient client(loop, {"127.0.0.1", port});
   const HttpResult result = CallAndWait(loop, client, {});
   REQUIRE_FALSE(IsOk(result));
-  CHECK(ErrorOf(result) == HttpFault::kNotSent);
+  CHECK(ErrorOf(result) == HttpError::kNotSent);
 }
 
 TEST_CASE("Bytes that are not HTTP, and heads without end, are refused", "[net]") {
@@ -114,7 +114,7 @@
     clients.push_back(
         std::make_unique<HttpClient>(loop, common::Endpoint{"127.0.0.1", server.Port()}));
     HttpRequest request;
-    request.headers = {kCloseAfterAnswer};
+    request.headers = {kCloseAfterResponse};
     answered += IsOk(CallAndWait(loop, *clients.back(), request)) ? 1 : 0;
   }
   CHECK(answered == kClients);
--- a/tests/net/stream_test.cc
+++ b/tests/net/stream_test.cc
@@ -81,15 +81,15 @@
   CHECK(side.heard == side.sent);
   CHECK(side.end == asio::error::eof);
   CHECK(side.read == "first");
-  CHECK(side.RunUntil([&] { return !side.stream->Open(); }));
+  CHECK(side.RunUntil([&] { return !side.stream->IsOpen(); }));
   CHECK(side.closed == 0);
 }
 
 TEST_CASE("A caller that never reads holds a connection that ends for a limited time", "[net]") {
   EndingSide side;
   side.stream->CloseAfterFlush(kFlushTime);
-  CHECK(side.stream->Open());
-  CHECK(side.RunUntil([&] { return !side.stream->Open(); }));
+  CHECK(side.stream->IsOpen());
+  CHECK(side.RunUntil([&] { return !side.stream->IsOpen(); }));
   CHECK(side.closed == 0);
 }
 
@@ -99,7 +99,7 @@
   asio::error_code ignored;
   side.caller.close(ignored);  // over input that it has not read: the system resets
   const auto began = std::chrono::steady_clock::now();
-  CHECK(side.RunUntil([&] { return !side.stream->Open(); }));
+  CHECK(side.RunUntil([&] { return !side.stream->IsOpen(); }));
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(1));
 }
 
@@ -121,14 +121,14 @@
   }
   stream->Send(std::string(std::size_t{64} << 10U, 'x'));
   stream->CloseAfterFlush(std::chrono::seconds(2));
-  const bool lingers = stream->Open();
+  const bool lingers = stream->IsOpen();
   for (int turn = 0; turn < 20; ++turn) {
     loop.run_one_for(kTurn);
   }
   asio::error_code ignored;
   caller.close(ignored);
   const auto began = std::chrono::steady_clock::now();
-  while (stream->Open()) {
+  while (stream->IsOpen()) {
     loop.run_one_for(kTurn);
   }
   CHECK(lingers);
