--- a/src/http/loop_server.cc
+++ b/src/http/loop_server.cc
@@ -10,27 +10,28 @@
 namespace valvekeel::http {
 namespace {
 
+/// Maximum time that an HTTP thread waits for a handler on the loop.
 constexpr std::chrono::seconds kHandlerTimeout{5};
 constexpr int kServiceUnavailable = 503;
-constexpr std::size_t kThreads = 2;
+constexpr std::size_t kHttpThreads = 2;
 
-Request Translate(const httplib::Request& request) {
-  Request translated;
-  translated.path = request.path;
-  translated.body = request.body;
+Request ConvertRequest(const httplib::Request& request) {
+  Request converted;
+  converted.path = request.path;
+  converted.body = request.body;
   for (const auto& [name, value] : request.params) {
-    translated.query[name] = value;
+    converted.query[name] = value;
   }
   for (std::size_t i = 1; i < request.matches.size(); ++i) {
-    translated.captures.push_back(request.matches[i].str());
+    converted.captures.push_back(request.matches[i].str());
   }
-  return translated;
+  return converted;
 }
 
 }  // namespace
 
 LoopServer::LoopServer(asio::io_context& loop) : loop_(loop) {
-  server_.new_task_queue = [] { return new httplib::ThreadPool(kThreads); };
+  server_.new_task_queue = [] { return new httplib::ThreadPool(kHttpThreads); };
   server_.set_keep_alive_max_count(1);
 }
 
@@ -40,8 +41,8 @@
                            httplib::Response& response) {
   auto promise = std::make_shared<std::promise<Reply>>();
   std::future<Reply> future = promise->get_future();
-  asio::post(loop_, [promise, handler, translated = Translate(request)] {
-    promise->set_value(handler(translated));
+  asio::post(loop_, [promise, handler, converted = ConvertRequest(request)] {
+    promise->set_value(handler(converted));
   });
   if (future.wait_for(kHandlerTimeout) != std::future_status::ready) {
     response.status = kServiceUnavailable;
@@ -68,17 +69,17 @@
 
 common::Result<std::uint16_t, ListenError> LoopServer::Start(const std::string& host,
                                                              std::uint16_t port) {
-  int bound = port;
+  int bound_port = port;
   if (port == 0) {
-    bound = server_.bind_to_any_port(host);
+    bound_port = server_.bind_to_any_port(host);
   } else if (!server_.bind_to_port(host, port)) {
-    bound = -1;
+    bound_port = -1;
   }
-  if (bound < 0) {
+  if (bound_port < 0) {
     return ListenError{absl::StrCat("cannot listen for HTTP on ", host, ":", port)};
   }
   thread_ = std::thread([this] { server_.listen_after_bind(); });
-  return static_cast<std::uint16_t>(bound);
+  return static_cast<std::uint16_t>(bound_port);
 }
 
 void LoopServer::Stop() {
--- a/src/http/loop_server.h
+++ b/src/http/loop_server.h
@@ -1,8 +1,8 @@
 // HTTP server whose handlers run on the event loop.
 //
-// Owns: the listening socket and its threads. Invariant: a handler runs on the loop's thread, so it
-// may read the loop's state without locks; the HTTP thread waits for it a bounded time. Thread:
-// constructed and destroyed on the loop's thread.
+// The server owns the listening socket and the HTTP threads. A handler runs on the loop's thread,
+// so it may read the loop's state without locks; the HTTP thread waits up to 5 s for it and answers
+// 503 otherwise. Constructed and destroyed on the loop's thread.
 #pragma once
 
 #include <httplib.h>
@@ -19,7 +19,7 @@
 
 namespace valvekeel::http {
 
-/// A request as a handler sees it.
+/// The request passed to a handler.
 struct Request {
   std::string path;
   std::map<std::string, std::string> query;
@@ -27,13 +27,14 @@
   std::string body;
 };
 
+/// The response returned by a handler.
 struct Reply {
   int status = 200;
   std::string body;
   std::string content_type = "application/json";
 };
 
-/// Why the server cannot listen.
+/// Error of Start: the address cannot be bound.
 struct ListenError {
   std::string reason;
 };
@@ -48,16 +49,18 @@
   LoopServer(const LoopServer&) = delete;
   LoopServer& operator=(const LoopServer&) = delete;
 
-  /// Adds a route. @param method GET or POST. @param pattern regular expression of the path.
+  /// Adds a route; call before Start. @param method GET or POST. @param pattern regular expression
+  /// that the whole path matches.
   void Route(const std::string& method, const std::string& pattern, Handler handler);
 
-  /// Starts to listen. @param port 0 lets the system choose. @return the bound port or the error.
+  /// Starts listening. @param port 0 lets the system choose. @return the bound port or the error.
   common::Result<std::uint16_t, ListenError> Start(const std::string& host, std::uint16_t port);
 
-  /// Stops and waits for the threads.
+  /// Stops listening and waits for the HTTP threads.
   void Stop();
 
  private:
+  /// Runs the handler on the loop and waits for its reply, on an HTTP thread.
   void RunOnLoop(const Handler& handler, const httplib::Request& request,
                  httplib::Response& response);
 
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -6,11 +6,14 @@
 namespace valvekeel::net {
 namespace {
 
-constexpr std::size_t kMostIdle = 8;
-constexpr std::size_t kMostServed = 64;
+/// Idle connections that a client keeps for reuse.
+constexpr std::size_t kMaxIdleConnections = 8;
+/// Connections that a server has open; it closes further ones on accept.
+constexpr std::size_t kMaxServedConnections = 64;
+/// Sent bytes that stay unacknowledged for longer end the connection.
 constexpr unsigned kUserTimeoutMs = 3000;
 
-std::string RequestBytes(const HttpRequest& request, const common::Endpoint& server) {
+std::string SerializeRequest(const HttpRequest& request, const common::Endpoint& server) {
   std::string bytes = request.method;
   const auto add = [&bytes](std::string_view part) { bytes.append(part); };
   add(" ");
@@ -47,7 +50,7 @@
   }
 }
 
-std::string ResponseBytes(const HttpResponse& response, bool keep_alive) {
+std::string SerializeResponse(const HttpResponse& response, bool keep_alive) {
   std::string bytes = "HTTP/1.1 " + std::to_string(response.status) + " " +
                       ReasonPhrase(response.status) + "\r\nContent-Type: " + response.content_type +
                       "\r\nContent-Length: " + std::to_string(response.body.size()) + "\r\n";
@@ -62,7 +65,7 @@
 struct HttpClient::Connection {
   std::shared_ptr<Stream> stream;
   HttpParser parser{HttpRole::kReadsResponses};
-  std::shared_ptr<Exchange> exchange;  // in progress
+  std::shared_ptr<Exchange> exchange;  // call in progress, or null
 };
 
 struct HttpClient::Exchange {
@@ -105,7 +108,7 @@
     if (!common::IsOk(result)) {
       connection->stream->Close();
     }
-    // The parameter may be this very pointer: it is not used from here on.
+    // `exchange` may refer to this pointer, so it must not be used after the reset.
     connection->exchange.reset();
   }
   handler(result);
@@ -114,7 +117,7 @@
 void HttpClient::Call(const HttpRequest& request, std::chrono::microseconds timeout,
                       HttpHandler handler) {
   auto exchange = std::make_shared<Exchange>(loop_);
-  exchange->bytes = RequestBytes(request, server_);
+  exchange->bytes = SerializeRequest(request, server_);
   exchange->handler = std::move(handler);
   exchange->timer.expires_after(timeout);
   exchange->timer.async_wait([exchange](const asio::error_code& cancelled) {
@@ -159,13 +162,13 @@
                 reading->stream->Close();
                 return;
               }
-              for (HttpMessage& message : reading->parser.Take()) {
+              for (HttpMessage& message : reading->parser.TakeMessages()) {
                 const std::shared_ptr<Exchange> done = reading->exchange;
                 if (!done) {
                   reading->stream->Close();
                   return;
                 }
-                if (message.keep_alive && idle->size() < kMostIdle) {
+                if (message.keep_alive && idle->size() < kMaxIdleConnections) {
                   idle->push_back(reading);
                 } else {
                   reading->stream->CloseAfterFlush();
@@ -208,7 +211,7 @@
 std::uint16_t HttpServer::Port() const { return listener_.Port(); }
 
 void HttpServer::Serve(asio::ip::tcp::socket socket) {
-  if (*connections_ >= kMostServed) {
+  if (*connections_ >= kMaxServedConnections) {
     asio::error_code ignored;
     socket.close(ignored);
     return;
@@ -229,8 +232,8 @@
           --*count;
           return;
         }
-        for (const HttpMessage& message : parser->Take()) {
-          serving->Send(ResponseBytes(handler_(message), message.keep_alive));
+        for (const HttpMessage& message : parser->TakeMessages()) {
+          serving->Send(SerializeResponse(handler_(message), message.keep_alive));
           if (!message.keep_alive) {
             serving->CloseAfterFlush();
             --*count;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,8 +1,8 @@
 // HTTP/1.1 client and server on the event loop.
 //
-// Owns: their connections. Invariant: every call's handler is called exactly once, at the latest
-// when its time is over; a call that was not sent is told apart from one without an answer. Thread:
-// the event loop's.
+// Client and server own their connections. The handler of a call runs exactly once, at the latest
+// when the call times out. A failed call reports whether the request may have reached the server.
+// Not thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -24,7 +24,8 @@
 
 namespace valvekeel::net {
 
-/// Asks the server to end the connection with its answer: for a client that calls once.
+/// Header that asks the server to close the connection after its response. For clients that send a
+/// single request.
 inline const std::pair<std::string, std::string> kCloseAfterResponse{"Connection", "close"};
 
 struct HttpRequest {
@@ -34,23 +35,27 @@
   std::string body;
 };
 
-/// Why a call has no answer.
+/// Why a call has no response.
 enum class HttpError {
-  kNotSent,   // no connection: nothing was done
-  kNoAnswer,  // sent, so it may have been done
+  kNotSent,   // no connection: the server has not executed the request
+  kNoAnswer,  // sent without a response: the server may have executed the request
 };
 
 using HttpResult = common::Result<HttpResponse, HttpError>;
 using HttpHandler = std::function<void(const HttpResult&)>;
 
-/// Calls one server; connections are kept and used again.
+/// Sends requests to one server. Reuses idle connections.
 class HttpClient {
  public:
   HttpClient(asio::io_context& loop, common::Endpoint server);
 
+  /// Changes the server. Closes the idle connections if the address differs; calls in progress
+  /// continue.
   void SetServer(const common::Endpoint& server);
 
-  /// @param timeout after which the call ends without an answer.
+  /// Sends a request.
+  /// @param timeout after which the call fails: kNotSent while connecting, kNoAnswer after sending.
+  /// @param handler called exactly once, with the response or the error.
   void Call(const HttpRequest& request, std::chrono::microseconds timeout, HttpHandler handler);
 
  private:
@@ -65,7 +70,7 @@
   std::shared_ptr<std::vector<std::shared_ptr<Connection>>> idle_;
 };
 
-/// Answers requests from handlers on the loop.
+/// Serves requests with one handler, which runs on the event loop.
 class HttpServer {
  public:
   using Handler = std::function<HttpResponse(const HttpMessage& request)>;
@@ -75,6 +80,7 @@
   /// @return false if the address cannot be bound.
   bool Listen(const common::Endpoint& address);
 
+  /// @return the bound port, which the system chooses if the address has port 0.
   std::uint16_t Port() const;
 
  private:
--- a/src/net/http_parser.cc
+++ b/src/net/http_parser.cc
@@ -7,8 +7,8 @@
 namespace valvekeel::net {
 namespace {
 
-constexpr std::size_t kMostBodyBytes = std::size_t{16} << 20U;
-constexpr std::size_t kMostHeadBytes = std::size_t{64} << 10U;
+constexpr std::size_t kMaxBodyBytes = std::size_t{16} << 20U;
+constexpr std::size_t kMaxHeadBytes = std::size_t{64} << 10U;
 
 std::string LowerCase(std::string text) {
   std::transform(text.begin(), text.end(), text.begin(),
@@ -21,12 +21,13 @@
 struct HttpParser::Callbacks {
   static HttpParser& Self(::http_parser* parser) { return *static_cast<HttpParser*>(parser->data); }
 
-  static bool HeadFits(HttpParser& self, std::size_t size) {
+  /// Counts bytes of the message head. @return false if the head exceeds its limit.
+  static bool AddHeadBytes(HttpParser& self, std::size_t size) {
     self.head_bytes_ += size;
-    return self.head_bytes_ <= kMostHeadBytes;
+    return self.head_bytes_ <= kMaxHeadBytes;
   }
 
-  static int Begin(::http_parser* parser) {
+  static int OnMessageBegin(::http_parser* parser) {
     HttpParser& self = Self(parser);
     self.current_ = HttpMessage{};
     self.header_name_.clear();
@@ -35,36 +36,36 @@
     return 0;
   }
 
-  static int Target(::http_parser* parser, const char* at, std::size_t size) {
+  static int OnTarget(::http_parser* parser, const char* at, std::size_t size) {
     HttpParser& self = Self(parser);
     self.current_.target.append(at, size);
-    return HeadFits(self, size) ? 0 : 1;
+    return AddHeadBytes(self, size) ? 0 : 1;
   }
 
-  static int Name(::http_parser* parser, const char* at, std::size_t size) {
+  static int OnHeaderName(::http_parser* parser, const char* at, std::size_t size) {
     HttpParser& self = Self(parser);
     if (self.in_header_value_) {
       self.header_name_.clear();
       self.in_header_value_ = false;
     }
     self.header_name_.append(at, size);
-    return HeadFits(self, size) ? 0 : 1;
+    return AddHeadBytes(self, size) ? 0 : 1;
   }
 
-  static int Value(::http_parser* parser, const char* at, std::size_t size) {
+  static int OnHeaderValue(::http_parser* parser, const char* at, std::size_t size) {
     HttpParser& self = Self(parser);
     self.in_header_value_ = true;
     self.current_.headers[LowerCase(self.header_name_)].append(at, size);
-    return HeadFits(self, size) ? 0 : 1;
+    return AddHeadBytes(self, size) ? 0 : 1;
   }
 
-  static int Body(::http_parser* parser, const char* at, std::size_t size) {
+  static int OnBody(::http_parser* parser, const char* at, std::size_t size) {
     HttpParser& self = Self(parser);
     self.current_.body.append(at, size);
-    return self.current_.body.size() <= kMostBodyBytes ? 0 : 1;
+    return self.current_.body.size() <= kMaxBodyBytes ? 0 : 1;
   }
 
-  static int Complete(::http_parser* parser) {
+  static int OnMessageComplete(::http_parser* parser) {
     HttpParser& self = Self(parser);
     self.current_.status = static_cast<int>(parser->status_code);
     if (parser->type == HTTP_REQUEST) {
@@ -78,15 +79,15 @@
 
   static const http_parser_settings& Settings() {
     static const http_parser_settings kSettings = [] {
-      http_parser_settings made;
-      http_parser_settings_init(&made);
-      made.on_message_begin = Begin;
-      made.on_url = Target;
-      made.on_header_field = Name;
-      made.on_header_value = Value;
-      made.on_body = Body;
-      made.on_message_complete = Complete;
-      return made;
+      http_parser_settings settings;
+      http_parser_settings_init(&settings);
+      settings.on_message_begin = OnMessageBegin;
+      settings.on_url = OnTarget;
+      settings.on_header_field = OnHeaderName;
+      settings.on_header_value = OnHeaderValue;
+      settings.on_body = OnBody;
+      settings.on_message_complete = OnMessageComplete;
+      return settings;
     }();
     return kSettings;
   }
@@ -99,16 +100,16 @@
 
 bool HttpParser::Feed(std::string_view bytes) {
   parser_.data = this;
-  const std::size_t taken =
+  const std::size_t parsed =
       http_parser_execute(&parser_, &Callbacks::Settings(), bytes.data(), bytes.size());
-  return taken == bytes.size() && parser_.upgrade == 0;
+  return parsed == bytes.size() && parser_.upgrade == 0;
 }
 
-void HttpParser::Ended() {
+void HttpParser::OnEndOfStream() {
   parser_.data = this;
   http_parser_execute(&parser_, &Callbacks::Settings(), nullptr, 0);
 }
 
-std::vector<HttpMessage> HttpParser::Take() { return std::exchange(complete_, {}); }
+std::vector<HttpMessage> HttpParser::TakeMessages() { return std::exchange(complete_, {}); }
 
 }  // namespace valvekeel::net
--- a/src/net/http_parser.h
+++ b/src/net/http_parser.h
@@ -1,7 +1,7 @@
-// Reads HTTP/1.1 messages from a stream of bytes, by the http_parser library.
+// Parses HTTP/1.1 messages from a byte stream with the http_parser library.
 //
-// Owns: the message read so far. Invariant: bodies and heads larger than the limits are errors.
-// Thread: any.
+// The parser buffers the message that is still incomplete. A head (request target and headers) or a
+// body above its size limit is a parse error. No I/O and no clock; not thread-safe.
 #pragma once
 
 #include <http_parser.h>
@@ -14,11 +14,11 @@
 
 namespace valvekeel::net {
 
-/// A whole message, request or response.
+/// A complete message, request or response.
 struct HttpMessage {
-  std::string method;                          // of a request
-  std::string target;                          // of a request
-  int status = 0;                              // of a response
+  std::string method;                          // requests only
+  std::string target;                          // requests only
+  int status = 0;                              // responses only
   std::map<std::string, std::string> headers;  // names in lower case
   std::string body;
   bool keep_alive = true;
@@ -28,23 +28,26 @@
   int status = 200;
   std::string body;
   std::string content_type = "application/json";
-  std::map<std::string, std::string> headers;  // of a response received
+  std::map<std::string, std::string> headers;  // set in received responses only
 };
 
+/// Which kind of message a parser reads.
 enum class HttpRole : std::uint8_t { kReadsRequests, kReadsResponses };
 
+/// Incremental parser of one connection's incoming messages.
 class HttpParser {
  public:
   explicit HttpParser(HttpRole role);
 
-  /// Takes bytes. @return false if they are not HTTP, or too much.
+  /// Parses the next bytes of the stream. @return false if they are not valid HTTP, exceed a size
+  /// limit or upgrade the protocol.
   bool Feed(std::string_view bytes);
 
-  /// The other side has ended the stream: a response may end that way.
-  void Ended();
+  /// Reports that the peer has closed the stream, which completes a response without a length.
+  void OnEndOfStream();
 
-  /// @return the messages completed since the last call.
-  std::vector<HttpMessage> Take();
+  /// Removes and returns the messages completed since the last call.
+  std::vector<HttpMessage> TakeMessages();
 
  private:
   struct Callbacks;
--- a/src/net/listener.cc
+++ b/src/net/listener.cc
@@ -43,7 +43,7 @@
 
 void Listener::Accept() {
   acceptor_.async_accept([this](const asio::error_code& error, asio::ip::tcp::socket socket) {
-    // A connection that was accepted just before Close ends with its socket.
+    // A connection accepted just before Close is closed when its socket is destroyed here.
     if (error == asio::error::operation_aborted || !acceptor_.is_open()) {
       return;
     }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,7 +1,7 @@
-// Accepts connections on one address.
+// Accepts TCP connections on one address.
 //
-// Owns: the listening socket. Invariant: after Close, or after the listener's end, the handler is
-// not called any more. Thread: the event loop's.
+// The listener owns the listening socket. The handler is not called after Close or after the
+// listener's destruction. Not thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -13,11 +13,12 @@
 
 namespace valvekeel::net {
 
+/// Listening socket that passes accepted connections to a handler.
 class Listener {
  public:
   using Handler = std::function<void(asio::ip::tcp::socket socket)>;
 
-  /// @param handler takes each connection; it outlives the listener.
+  /// @param handler receives each accepted socket; what it refers to must outlive the listener.
   Listener(asio::io_context& loop, Handler handler);
   ~Listener();
   Listener(const Listener&) = delete;
@@ -26,7 +27,9 @@
   /// @return false if the address cannot be bound.
   bool Listen(const common::Endpoint& address);
 
+  /// @return the bound port, which the system chooses if the address has port 0.
   std::uint16_t Port() const;
+  /// Stops listening. Accepted connections stay open.
   void Close();
 
  private:
--- a/src/net/stream.cc
+++ b/src/net/stream.cc
@@ -13,10 +13,11 @@
 namespace valvekeel::net {
 namespace {
 
-/// Bytes that may wait for a peer that does not read.
-constexpr std::size_t kMostWaiting = std::size_t{4} << 20U;
-/// How often it is looked whether the other side has all: a round trip within a region.
-constexpr std::chrono::milliseconds kTakenInterval{5};
+/// Bytes that may be queued for a peer that does not read.
+constexpr std::size_t kMaxQueuedBytes = std::size_t{4} << 20U;
+/// Interval of the checks whether the peer has acknowledged all bytes: about one round trip within
+/// a region.
+constexpr std::chrono::milliseconds kAckPollInterval{5};
 
 }  // namespace
 
@@ -33,7 +34,7 @@
   asio::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   if (user_timeout_ms_ > 0) {
-    // Asio has no option of this name; the call fails harmlessly where it is not known.
+    // Asio has no TCP_USER_TIMEOUT option. A failure on systems without it is harmless.
     static_cast<void>(::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
                                    &user_timeout_ms_, sizeof(user_timeout_ms_)));
   }
@@ -83,16 +84,16 @@
 }
 
 void Stream::Start(BytesHandler bytes, ClosedHandler closed) {
-  bytes_ = std::move(bytes);
-  closed_ = std::move(closed);
-  asio::error_code ignored;  // what ails the socket shows when it is read
+  on_bytes_ = std::move(bytes);
+  on_closed_ = std::move(closed);
+  asio::error_code ignored;  // the first read reports errors of the socket
   socket_.non_blocking(true, ignored);
-  Read();
+  WaitForInput();
 }
 
-void Stream::Read() {
-  // Bytes are taken from the system only in the turn that hands them on, so that none are read
-  // after StopReading: a read that is under way could not be called back.
+void Stream::WaitForInput() {
+  // Waits for readability instead of starting an asynchronous read, which could still consume bytes
+  // after StopReading. Bytes are read only in the callback that passes them to the handler.
   auto self = shared_from_this();
   socket_.async_wait(asio::ip::tcp::socket::wait_read, [self](const asio::error_code& error) {
     if (!self->open_ || !self->reading_) {
@@ -110,18 +111,18 @@
   asio::error_code error;
   const std::size_t count = socket_.read_some(asio::buffer(input_), error);
   if (error == asio::error::would_block || error == asio::error::try_again) {
-    Read();
+    WaitForInput();
     return;
   }
   if (error) {
     Fail(error);
     return;
   }
-  if (bytes_) {
-    bytes_(std::string_view(input_.data(), count));
+  if (on_bytes_) {
+    on_bytes_(std::string_view(input_.data(), count));
   }
   if (open_ && reading_) {
-    Read();
+    WaitForInput();
   }
 }
 
@@ -129,14 +130,14 @@
   if (!open_ || close_after_flush_) {
     return false;
   }
-  if (waiting_.size() + bytes.size() > kMostWaiting) {
+  if (queued_.size() + bytes.size() > kMaxQueuedBytes) {
     Fail(asio::error::no_buffer_space);
     return false;
   }
-  if (waiting_.empty()) {
-    waiting_ = std::move(bytes);
+  if (queued_.empty()) {
+    queued_ = std::move(bytes);
   } else {
-    waiting_ += bytes;
+    queued_ += bytes;
   }
   if (!write_in_progress_) {
     Write();
@@ -145,23 +146,23 @@
 }
 
 void Stream::Write() {
-  // Most writes fit into the socket's buffer: no need for a turn of the loop.
+  // Most writes fit into the socket's send buffer, so a direct write saves a pass through the loop.
   asio::error_code error;
   socket_.non_blocking(true, error);
-  const std::size_t sent = error ? 0 : socket_.write_some(asio::buffer(waiting_), error);
+  const std::size_t sent = error ? 0 : socket_.write_some(asio::buffer(queued_), error);
   if (error && error != asio::error::would_block && error != asio::error::try_again) {
     auto self = shared_from_this();
     asio::post(timer_.get_executor(), [self, error] { self->Fail(error); });
     return;
   }
-  waiting_.erase(0, error ? 0 : sent);
-  if (waiting_.empty()) {
+  queued_.erase(0, error ? 0 : sent);
+  if (queued_.empty()) {
     if (close_after_flush_) {
-      CloseWhenTaken();
+      CloseWhenAcknowledged();
     }
     return;
   }
-  writing_ = std::exchange(waiting_, {});
+  writing_ = std::exchange(queued_, {});
   write_in_progress_ = true;
   auto self = shared_from_this();
   asio::async_write(socket_, asio::buffer(writing_),
@@ -173,10 +174,10 @@
                       }
                       if (fault) {
                         self->Fail(fault);
-                      } else if (!self->waiting_.empty()) {
+                      } else if (!self->queued_.empty()) {
                         self->Write();
                       } else if (self->close_after_flush_) {
-                        self->CloseWhenTaken();
+                        self->CloseWhenAcknowledged();
                       }
                     });
 }
@@ -186,60 +187,63 @@
     return;
   }
   end_reason_ = fault == asio::error::eof ? "closed by the other side" : fault.message();
-  // The handler may hold the last reference to this object.
+  // The handler may hold the last reference to this stream, so keep the stream alive until it
+  // returns.
   auto self = shared_from_this();
-  const ClosedHandler closed = std::move(closed_);
+  const ClosedHandler closed = std::move(on_closed_);
   Close();
   if (closed) {
     closed();
   }
 }
 
-void Stream::CloseAfterFlush(std::chrono::milliseconds limit) {
+void Stream::CloseAfterFlush(std::chrono::milliseconds timeout) {
   if (!open_ || close_after_flush_) {
     return;
   }
-  // What came now would be answered by nobody, and the other side's end would cut off what waits.
+  // Nothing would answer further input, and reading the peer's end of stream would close the
+  // connection before the queued bytes are sent.
   StopReading();
-  closed_ = nullptr;
+  on_closed_ = nullptr;
   close_after_flush_ = true;
-  flush_until_ = std::chrono::steady_clock::now() + limit;
-  timer_.expires_at(flush_until_);
+  flush_deadline_ = std::chrono::steady_clock::now() + timeout;
+  timer_.expires_at(flush_deadline_);
   timer_.async_wait([self = shared_from_this()](const asio::error_code& cancelled) {
     if (!cancelled) {
       self->Close();
     }
   });
-  if (!write_in_progress_ && waiting_.empty()) {
-    CloseWhenTaken();
+  if (!write_in_progress_ && queued_.empty()) {
+    CloseWhenAcknowledged();
   }
 }
 
-void Stream::CloseWhenTaken() {
-  // Over unread input the system resets a connection and drops what it has not delivered: 2 MiB of
-  // 6 went so on the loopback.
-  if (!Unacknowledged() || std::chrono::steady_clock::now() >= flush_until_) {
+void Stream::CloseWhenAcknowledged() {
+  // Closing a socket with unread input makes the system reset the connection and drop undelivered
+  // bytes: on the loopback, 2 MiB of 6 MiB are lost this way. So close only after the
+  // acknowledgement.
+  if (!HasUnacknowledgedBytes() || std::chrono::steady_clock::now() >= flush_deadline_) {
     Close();
     return;
   }
   asio::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-  timer_.expires_after(kTakenInterval);
+  timer_.expires_after(kAckPollInterval);
   timer_.async_wait([self = shared_from_this()](const asio::error_code& cancelled) {
     if (!cancelled && self->open_) {
-      self->CloseWhenTaken();
+      self->CloseWhenAcknowledged();
     }
   });
 }
 
-bool Stream::Unacknowledged() {
+bool Stream::HasUnacknowledgedBytes() {
   int bytes = 0;
   const bool some = ::ioctl(socket_.native_handle(), SIOCOUTQ, &bytes) == 0 && bytes > 0;
-  return some && !Reset();
+  return some && !IsReset();
 }
 
-bool Stream::Reset() {
-  // The count stays where it was once the other side has reset the connection.
+bool Stream::IsReset() {
+  // After a reset by the peer, SIOCOUTQ keeps reporting the last count of unacknowledged bytes.
   tcp_info info{};
   socklen_t size = sizeof(info);
   const bool known =
@@ -256,7 +260,7 @@
   asio::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
   socket_.close(ignored);
-  // The handlers stay until the end: one of them may be running.
+  // The handlers are kept until destruction, because one of them may be running.
 }
 
 }  // namespace valvekeel::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,8 +1,8 @@
 // One TCP connection with buffered writes.
 //
-// Owns: the socket and what is still to be written. Invariant: after Close or an error no handler
-// is called any more, but for the one call of the closed handler; what waits to be written is
-// bounded. Thread: the event loop's.
+// The stream owns the socket and the bytes that are not written yet, whose number is bounded. After
+// Close no handler is called. After an error only the closed handler is called, once. Not
+// thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include <array>
@@ -20,13 +20,15 @@
 
 namespace valvekeel::net {
 
-/// Longest time for the other side to take the last answers: as for callers, whose longest
-/// deadlines are seconds.
+/// Maximum time for the peer to acknowledge the last responses before the connection is closed. It
+/// allows for callers, whose longest deadlines are seconds.
 inline constexpr std::chrono::milliseconds kCloseFlushTimeout{10'000};
 
 /// Why a connection could not be opened.
 enum class ConnectError { kRefused, kTimedOut };
 
+/// TCP connection that is read by a handler and written through a queue. Must be owned by a
+/// std::shared_ptr.
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
   using BytesHandler = std::function<void(std::string_view)>;
@@ -36,66 +38,72 @@
 
   /// Takes over an accepted socket.
   Stream(asio::io_context& loop, asio::ip::tcp::socket socket);
+  /// Creates an unconnected stream: call Connect next.
   explicit Stream(asio::io_context& loop);
 
-  /// Opens the connection. @param timeout longest time to wait.
+  /// Opens the connection. Calls exactly one of the handlers, or none if the stream is closed
+  /// first.
+  /// @param timeout maximum time to connect.
   void Connect(const common::Endpoint& address, std::chrono::microseconds timeout,
                ConnectedHandler connected, const ConnectFailedHandler& failed);
 
-  /// Starts to read. @param closed called once if the other side or an error ends the connection.
+  /// Starts reading.
+  /// @param bytes called with each block of received bytes.
+  /// @param closed called once if the peer or an error ends the connection.
   void Start(BytesHandler bytes, ClosedHandler closed);
 
-  /// Reads no more: what comes from now on stays with the system. What was sent still leaves.
+  /// Stops reading: later input stays in the socket's receive buffer. Queued bytes are still sent.
   void StopReading() { reading_ = false; }
 
-  /// Sends bytes in order. @return false if too much waits already: the connection is closed then;
-  /// also once it is about to end.
+  /// Queues bytes for sending, in order. @return false if the connection is closed or closing, or
+  /// if the queue would exceed its limit; exceeding the limit closes the connection.
   bool Send(std::string bytes);
 
-  /// Reads no more, and ends the connection once the other side has what was sent. The closed
-  /// handler is not called any more. @param limit longest time for that: the other side may never
-  /// read.
-  void CloseAfterFlush(std::chrono::milliseconds limit = kCloseFlushTimeout);
+  /// Stops reading, and closes the connection once the peer has acknowledged all sent bytes. The
+  /// closed handler is not called any more. @param timeout after which the connection is closed
+  /// anyway, since the peer may never read.
+  void CloseAfterFlush(std::chrono::milliseconds timeout = kCloseFlushTimeout);
 
-  /// Ends the connection at once.
+  /// Closes the connection immediately; queued bytes are dropped. No handler is called.
   void Close();
 
   bool IsOpen() const { return open_; }
 
-  /// @return why the connection ended, in words for a log; empty if this side ended it.
+  /// @return why the connection ended, as text for a log; empty if this side closed it.
   const std::string& EndReason() const { return end_reason_; }
 
-  /// Longest time that sent bytes may stay unacknowledged. @param milliseconds 0 for the system's.
+  /// Sets how long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT). Takes effect on Connect.
+  /// @param milliseconds 0 keeps the system's default.
   void SetUserTimeout(unsigned milliseconds);
 
  private:
-  /// Waits until there is something to read.
-  void Read();
+  /// Waits until the socket is readable, then reads.
+  void WaitForInput();
   void ReadSome();
   void Write();
   void Fail(const asio::error_code& fault);
   void ApplyOptions();
-  /// Closes the connection as soon as the other side has all.
-  void CloseWhenTaken();
-  /// @return true if something was sent that the other side has not acknowledged.
-  bool Unacknowledged();
-  /// @return true if the other side has reset the connection.
-  bool Reset();
+  /// Closes the connection once the peer has acknowledged all sent bytes, or at the flush deadline.
+  void CloseWhenAcknowledged();
+  /// @return true if the peer has yet to acknowledge sent bytes and has not reset the connection.
+  bool HasUnacknowledgedBytes();
+  /// @return true if the peer has reset the connection.
+  bool IsReset();
 
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
   std::array<char, 8192> input_{};
-  std::string writing_;
-  std::string waiting_;
+  std::string writing_;  // bytes of the write in progress
+  std::string queued_;   // bytes queued behind it
   bool open_ = false;
   bool reading_ = true;
   bool write_in_progress_ = false;
   bool close_after_flush_ = false;
-  std::chrono::steady_clock::time_point flush_until_;
+  std::chrono::steady_clock::time_point flush_deadline_;
   unsigned user_timeout_ms_ = 0;
   std::string end_reason_;
-  BytesHandler bytes_;
-  ClosedHandler closed_;
+  BytesHandler on_bytes_;
+  ClosedHandler on_closed_;
 };
 
 }  // namespace valvekeel::net
--- a/tests/net/http_test.cc
+++ b/tests/net/http_test.cc
@@ -12,20 +12,20 @@
 
 constexpr std::chrono::milliseconds kTimeout{300};
 
-/// Runs the loop until the call has ended.
+/// Sends a request and runs the loop until its handler is called.
 HttpResult CallAndWait(asio::io_context& loop, HttpClient& client, const HttpRequest& request) {
-  std::optional<HttpResult> ended;
-  client.Call(request, kTimeout, [&](const HttpResult& result) { ended = result; });
-  while (!ended) {
+  std::optional<HttpResult> outcome;
+  client.Call(request, kTimeout, [&](const HttpResult& result) { outcome = result; });
+  while (!outcome) {
     loop.run_one();
   }
-  return *ended;
+  return *outcome;
 }
 
-/// Accepts connections and closes each once something was read.
-class ClosingServer {
+/// Accepts connections and closes each on its first input, without a response.
+class DisconnectingServer {
  public:
-  explicit ClosingServer(asio::io_context& loop)
+  explicit DisconnectingServer(asio::io_context& loop)
       : loop_(loop), acceptor_(loop, {asio::ip::make_address("127.0.0.1"), 0}) {
     Accept();
   }
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE("A call is answered, and the connection serves the next one", "[net]") {
+TEST_CASE("The client gets a response to each of two consecutive calls", "[net]") {
   asio::io_context loop;
   HttpServer server(loop, [](const HttpMessage& request) {
     return HttpResponse{
@@ -69,16 +69,16 @@
   }
 }
 
-TEST_CASE("A connection that ends under a call leaves it without an answer", "[net]") {
+TEST_CASE("A connection closed during a call makes the call fail with kNoAnswer", "[net]") {
   asio::io_context loop;
-  ClosingServer server(loop);
+  DisconnectingServer server(loop);
   HttpClient client(loop, {"127.0.0.1", server.Port()});
   const HttpResult result = CallAndWait(loop, client, {});
   REQUIRE_FALSE(IsOk(result));
   CHECK(ErrorOf(result) == HttpError::kNoAnswer);
 }
 
-TEST_CASE("A call to a port that nobody listens on was not sent", "[net]") {
+TEST_CASE("A call to a port without a listener fails with kNotSent", "[net]") {
   asio::io_context loop;
   asio::ip::tcp::acceptor unused(loop, {asio::ip::make_address("127.0.0.1"), 0});
   const std::uint16_t port = unused.local_endpoint().port();
@@ -89,25 +89,26 @@
   CHECK(ErrorOf(result) == HttpError::kNotSent);
 }
 
-TEST_CASE("Bytes that are not HTTP, and heads without end, are refused", "[net]") {
+TEST_CASE("The parser rejects input that is not HTTP and oversized heads", "[net]") {
   HttpParser garbage(HttpRole::kReadsRequests);
   CHECK_FALSE(garbage.Feed("\x01\x02 nothing\r\n\r\n"));
   HttpParser endless(HttpRole::kReadsRequests);
-  bool taken = endless.Feed("GET / HTTP/1.1\r\n");
-  for (int i = 0; taken && i < 2000; ++i) {
-    taken = endless.Feed("Name-" + std::to_string(i) + ": " + std::string(100, 'x') + "\r\n");
+  bool accepted = endless.Feed("GET / HTTP/1.1\r\n");
+  for (int i = 0; accepted && i < 2000; ++i) {
+    accepted = endless.Feed("Name-" + std::to_string(i) + ": " + std::string(100, 'x') + "\r\n");
   }
-  CHECK_FALSE(taken);
+  CHECK_FALSE(accepted);
 }
 
-TEST_CASE("Many clients that call once, one after the other, are all answered", "[net]") {
+TEST_CASE("200 consecutive clients that send one request each all get a response", "[net]") {
   constexpr int kClients = 200;
   asio::io_context loop;
   HttpServer server(loop, [](const HttpMessage&) {
     return HttpResponse{200, "answer", "text/plain", {}};
   });
   REQUIRE(server.Listen({"127.0.0.1", 0}));
-  // Each stays as long as the others: what its connection holds is not given back by its end.
+  // The clients live until the end of the test, so their destruction cannot free the connections:
+  // the server must release each one after its response, or it reaches its limit of 64.
   std::vector<std::unique_ptr<HttpClient>> clients;
   int answered = 0;
   for (int number = 0; number < kClients; ++number) {
--- a/tests/net/stream_test.cc
+++ b/tests/net/stream_test.cc
@@ -10,15 +10,16 @@
 namespace valvekeel::net {
 namespace {
 
-constexpr std::chrono::seconds kLimit{20};
-constexpr std::chrono::milliseconds kTurn{1};
-constexpr std::chrono::milliseconds kFlushTime{50};
-/// Three of them are more than the system takes for a caller that does not read; two may wait.
-constexpr std::size_t kPartBytes = std::size_t{2} << 20U;
+constexpr std::chrono::seconds kRunTimeout{20};
+constexpr std::chrono::milliseconds kLoopStep{1};
+constexpr std::chrono::milliseconds kShortFlushTimeout{50};
+/// Three chunks exceed the socket buffers of a caller that does not read; two fit the stream's
+/// queue.
+constexpr std::size_t kChunkBytes = std::size_t{2} << 20U;
 
-/// One connection: the side under test answers the first bytes and ends.
-struct EndingSide {
-  EndingSide()
+/// Server end of one connection, which responds to its first input with three chunks.
+struct RespondingServer {
+  RespondingServer()
       : listener(loop, [this](asio::ip::tcp::socket socket) { Serve(std::move(socket)); }) {
     REQUIRE(listener.Listen({"127.0.0.1", 0}));
     caller.connect({asio::ip::make_address("127.0.0.1"), listener.Port()});
@@ -32,9 +33,10 @@
     stream->Start(
         [this](std::string_view bytes) {
           read += bytes;
-          // The first fills the system's buffer, the second is being written, the third waits.
-          for (; sent < 3 * kPartBytes; sent += kPartBytes) {
-            stream->Send(std::string(kPartBytes, 'x'));
+          // The first chunk fills the socket buffer, the second is being written, the third is
+          // queued.
+          for (; sent < 3 * kChunkBytes; sent += kChunkBytes) {
+            stream->Send(std::string(kChunkBytes, 'x'));
           }
         },
         [this] { ++closed; });
@@ -42,18 +44,18 @@
 
   template <typename Condition>
   bool RunUntil(Condition met) {
-    const auto deadline = std::chrono::steady_clock::now() + kLimit;
+    const auto deadline = std::chrono::steady_clock::now() + kRunTimeout;
     while (!met() && std::chrono::steady_clock::now() < deadline) {
-      loop.run_one_for(kTurn);
+      loop.run_one_for(kLoopStep);
     }
     return met();
   }
 
-  /// Reads some. @return false once there is nothing more to come.
+  /// Reads available bytes on the caller. @return false at the end of the stream or on an error.
   bool ReadSome() {
     std::array<char, 65536> input{};
-    heard += caller.read_some(asio::buffer(input), end);
-    return !end || end == asio::error::would_block;
+    received_bytes += caller.read_some(asio::buffer(input), read_error);
+    return !read_error || read_error == asio::error::would_block;
   }
 
   asio::io_context loop;
@@ -62,49 +64,50 @@
   asio::ip::tcp::socket caller{loop};
   std::string read;
   std::size_t sent = 0;
-  std::size_t heard = 0;
+  std::size_t received_bytes = 0;
   int closed = 0;
-  asio::error_code end;
+  asio::error_code read_error;
 };
 
 }  // namespace
 
-TEST_CASE("An answer arrives whole beside a command that crosses the end of its connection",
+TEST_CASE("A response arrives complete although a command arrives while the connection closes",
           "[net]") {
-  // Closed over input that nobody had read, a connection lost what the system had not delivered
-  // yet: 2 MiB of 6, with what looked like an orderly end. A command that comes while a session is
-  // being ended is such input.
-  EndingSide side;
-  side.stream->CloseAfterFlush();
-  asio::write(side.caller, asio::buffer(std::string("second")));
-  CHECK(side.RunUntil([&] { return !side.ReadSome(); }));
-  CHECK(side.heard == side.sent);
-  CHECK(side.end == asio::error::eof);
-  CHECK(side.read == "first");
-  CHECK(side.RunUntil([&] { return !side.stream->IsOpen(); }));
-  CHECK(side.closed == 0);
+  // Closing a socket with unread input drops undelivered bytes, 2 MiB of 6 MiB, while the caller
+  // reads a regular end of stream. A command that arrives while its session is being closed is such
+  // input.
+  RespondingServer server;
+  server.stream->CloseAfterFlush();
+  asio::write(server.caller, asio::buffer(std::string("second")));
+  CHECK(server.RunUntil([&] { return !server.ReadSome(); }));
+  CHECK(server.received_bytes == server.sent);
+  CHECK(server.read_error == asio::error::eof);
+  CHECK(server.read == "first");
+  CHECK(server.RunUntil([&] { return !server.stream->IsOpen(); }));
+  CHECK(server.closed == 0);
 }
 
-TEST_CASE("A caller that never reads holds a connection that ends for a limited time", "[net]") {
-  EndingSide side;
-  side.stream->CloseAfterFlush(kFlushTime);
-  CHECK(side.stream->IsOpen());
-  CHECK(side.RunUntil([&] { return !side.stream->IsOpen(); }));
-  CHECK(side.closed == 0);
+TEST_CASE("CloseAfterFlush closes at its timeout if the caller never reads", "[net]") {
+  RespondingServer server;
+  server.stream->CloseAfterFlush(kShortFlushTimeout);
+  CHECK(server.stream->IsOpen());
+  CHECK(server.RunUntil([&] { return !server.stream->IsOpen(); }));
+  CHECK(server.closed == 0);
 }
 
-TEST_CASE("A caller that has reset its connection does not hold it", "[net]") {
-  EndingSide side;
-  side.stream->CloseAfterFlush(std::chrono::seconds(2));
+TEST_CASE("CloseAfterFlush ends early if the caller resets the connection", "[net]") {
+  RespondingServer server;
+  server.stream->CloseAfterFlush(std::chrono::seconds(2));
   asio::error_code ignored;
-  side.caller.close(ignored);  // over input that it has not read: the system resets
+  server.caller.close(ignored);  // with unread input, so the system resets the connection
   const auto began = std::chrono::steady_clock::now();
-  CHECK(side.RunUntil([&] { return !side.stream->IsOpen(); }));
+  CHECK(server.RunUntil([&] { return !server.stream->IsOpen(); }));
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(1));
 }
 
-TEST_CASE("A caller that resets once all is with the system does not hold the end", "[net]") {
-  // Few bytes: all of them leave the process at once.
+TEST_CASE("CloseAfterFlush ends early if the caller resets when all bytes are in the socket buffer",
+          "[net]") {
+  // 64 KiB fit the socket buffer, so the stream's queue is empty when the caller resets.
   asio::io_context loop;
   std::shared_ptr<Stream> stream;
   Listener listener(loop, [&](asio::ip::tcp::socket socket) {
@@ -117,21 +120,21 @@
   caller.set_option(asio::socket_base::receive_buffer_size(4096));
   caller.connect({asio::ip::make_address("127.0.0.1"), listener.Port()});
   while (!stream) {
-    loop.run_one_for(kTurn);
+    loop.run_one_for(kLoopStep);
   }
   stream->Send(std::string(std::size_t{64} << 10U, 'x'));
   stream->CloseAfterFlush(std::chrono::seconds(2));
-  const bool lingers = stream->IsOpen();
+  const bool was_open = stream->IsOpen();
   for (int turn = 0; turn < 20; ++turn) {
-    loop.run_one_for(kTurn);
+    loop.run_one_for(kLoopStep);
   }
   asio::error_code ignored;
   caller.close(ignored);
   const auto began = std::chrono::steady_clock::now();
   while (stream->IsOpen()) {
-    loop.run_one_for(kTurn);
+    loop.run_one_for(kLoopStep);
   }
-  CHECK(lingers);
+  CHECK(was_open);
   CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(1));
 }
 
