--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -38,7 +38,7 @@
 
   /// Takes over an accepted socket.
   Stream(asio::io_context& loop, asio::ip::tcp::socket socket);
-  /// Creates an unconnected stream: call Connect next.
+  /// Creates an unconnected stream; Connect opens it.
   explicit Stream(asio::io_context& loop);
 
   /// Opens the connection. Calls exactly one of the handlers, or none if the stream is closed
