--- a/src/proxy/proxy.cc
+++ b/src/proxy/proxy.cc
@@ -41,11 +41,11 @@
 /// and no statement was served for 4 s.
 constexpr std::size_t kMostOpeningMeshed = 1'000;
 constexpr std::size_t kMostOpeningOwner = 1;
-/// The same as relay::GUEST_TIME for sessions handed over by daemons that can't be asked to end
-/// them. Their membership views follow within 2.5 s (if a zone's hubs become unresponsive), their
-/// roles 0.1 s later, and they end the sessions 1 s after that. Ending an idle session earlier can
-/// lose a command that is on the link: 58 to 103 commands per day of planned stops, most of them
-/// within 4 ms.
+/// The same as relay::FORMER_OWNER_GRACE for sessions handed over by daemons that can't be asked to
+/// end them. Their membership views follow within 2.5 s (if a zone's hubs become unresponsive),
+/// their roles 0.1 s later, and they end the sessions 1 s after that. Ending an idle session
+/// earlier can lose a command that is on the link: 58 to 103 commands per day of planned stops,
+/// most of them within 4 ms.
 constexpr common::Duration kHandedOverSessionGrace{5'000'000};
 
 }  // namespace
@@ -68,7 +68,7 @@
       groups_(settings_, backends_, roles_, outbox_),
       catalog_(settings_, outbox_),
       failover_(settings_, backends_, groups_, access_, peers_, membership_, roles_, outbox_),
-      store_lease_(settings_, groups_, roles_, outbox_),
+      lease_renewer_(settings_, groups_, roles_, outbox_),
       prover_(settings_, admission_, outbox_),
       dispatcher_(settings_, backends_, groups_, admission_, access_, outbox_),
       session_relay_(settings_, roles_, peers_, membership_, admission_, regions_, dispatcher_,
@@ -182,8 +182,8 @@
                            const model::Revision& revision, common::Instant now) {
   OnStoreEra(revision.era, now);
   // A record of an earlier era says nothing about failovers begun in this one.
-  const bool of_present_era = record && store_lease_.RequestedEra() == catalog_.Era();
-  store_lease_.OnReadAnswered(call, of_present_era ? record : std::nullopt);
+  const bool of_present_era = record && lease_renewer_.RequestedEra() == catalog_.Era();
+  lease_renewer_.OnReadAnswered(call, of_present_era ? record : std::nullopt);
   if (large_deployment_) {
     catalog_.OnProbeResult(record.has_value());
   }
@@ -427,7 +427,7 @@
 void Proxy::UpdateCatalogInterest(bool serves_unowned_services, common::Instant now) {
   serves_unowned_services_ = serves_unowned_services;
   const bool connects = roles_.watches_any() || serves_unowned_services;
-  catalog_.SetInterest({roles_.meshed(), roles_.coordinates(), store_lease_.IsReader(), connects,
+  catalog_.SetInterest({roles_.meshed(), roles_.coordinates(), lease_renewer_.IsReader(), connects,
                         CanSkipStoreCalls(now)});
 }
 
@@ -596,8 +596,8 @@
   }
   backends_.Tick(now);
   AdvanceWarmUps(now);
-  store_lease_.Tick(catalog_.Connected(), catalog_.Era(), now);
-  prover_.Tick({store_lease_.IsReader(), Admits(), catalog_.Connected()}, now);
+  lease_renewer_.Tick(catalog_.Connected(), catalog_.Era(), now);
+  prover_.Tick({lease_renewer_.IsReader(), Admits(), catalog_.Connected()}, now);
   AdvanceEvacuations(now);
   AdvanceRates(now);
   groups_.Tick(now);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -274,7 +274,7 @@
   GroupSet groups_;
   CatalogState catalog_;
   FailoverDriver failover_;
-  LeaseRenewer store_lease_;
+  LeaseRenewer lease_renewer_;
   ConfigurationProver prover_;
   Dispatcher dispatcher_;
   SessionRelay session_relay_;
--- a/src/proxy/proxy_evacuation.cc
+++ b/src/proxy/proxy_evacuation.cc
@@ -20,7 +20,7 @@
     evacuations_.on_work(now);
   }
   const bool coordinates = roles_.computed() && roles_.coordinates();
-  const evacuation::read_conditions duty{store_lease_.IsReader(), sends_work, coordinates,
+  const evacuation::read_conditions duty{lease_renewer_.IsReader(), sends_work, coordinates,
                                          catalog_.Connected()};
   if (!evacuation_reads_.start(duty, evacuations_, now)) {
     return;
--- a/src/proxy/proxy_heartbeats.cc
+++ b/src/proxy/proxy_heartbeats.cc
@@ -357,7 +357,7 @@
 }
 
 bool Proxy::ReportsAllGroups() const {
-  if (store_lease_.IsReader()) {
+  if (lease_renewer_.IsReader()) {
     return true;
   }
   if (catalog_.Connected()) {
--- a/src/proxy/proxy_tenants.cc
+++ b/src/proxy/proxy_tenants.cc
@@ -12,7 +12,7 @@
 }
 
 bool Proxy::AllocatesRates() const {
-  return settings_.tenants.rates_limited && store_lease_.IsReader();
+  return settings_.tenants.rates_limited && lease_renewer_.IsReader();
 }
 
 void Proxy::AdvanceRates(common::Instant now) {
--- a/src/proxysim/configuration_monitor.h
+++ b/src/proxysim/configuration_monitor.h
@@ -26,7 +26,7 @@
  public:
   explicit ConfigurationMonitor(World& world) : world_(world) {}
 
-  /// Begins to look. @param look calls NoteDisturbed, NoteStore and Check.
+  /// Begins to look. @param look calls RecordDaemonDisturbance, RecordStoreDisturbance and Check.
   void Start(std::function<void()> look);
 
   void RecordDaemonDisturbance(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
--- a/src/proxysim/daemon_host.cc
+++ b/src/proxysim/daemon_host.cc
@@ -19,7 +19,7 @@
   kStopsReading   // it accepts and reads nothing; earlier output is still sent
 };
 
-/// Must match the real host (its Do(Exit)).
+/// Must match the real host (its Execute(Exit)).
 constexpr ExitBehavior kHostExitBehavior = ExitBehavior::kStopsReading;
 /// Time from the decision to exit until the process ends: less than the 600 ms that the real host
 /// allows for sending answers.
--- a/src/proxysim/evacuation_monitor.h
+++ b/src/proxysim/evacuation_monitor.h
@@ -23,7 +23,8 @@
  public:
   explicit EvacuationMonitor(World& world) : world_(world) {}
 
-  /// Begins to look for disturbances. @param look calls NoteDaemon or NoteStore for each found.
+  /// Begins to look for disturbances. @param look calls RecordDaemonDisturbance or
+  /// RecordStoreDisturbance for each found.
   void Start(std::function<void()> look);
 
   void RecordDaemonDisturbance(const std::string& daemon) { disturbed_[daemon] = world_.Now(); }
