--- a/apps/valvekeel_proxysim.cc
+++ b/apps/valvekeel_proxysim.cc
@@ -1,7 +1,7 @@
-// valvekeel-proxysim: random faulty days for the proxy's decision code, on simulated time.
+// valvekeel-proxysim: runs the proxy's decision code in random fault scenarios on simulated time.
 //
-//   valvekeel-proxysim --seeds=1000           days of seeds 1 to 1000; prints those with violations
-//   valvekeel-proxysim --first=77 --seeds=1 --print_log   one day with its daemons' log lines
+//   valvekeel-proxysim --seeds=1000           runs seeds 1 to 1000; prints those with violations
+//   valvekeel-proxysim --first=77 --seeds=1 --print_log   runs one seed and prints its log lines
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr std::uint64_t kShownViolations = 5;
+constexpr std::uint64_t kDefaultShownViolations = 5;
 
 }  // namespace
 
@@ -42,13 +42,13 @@
 ABSL_FLAG(std::uint64_t, sessions, 40, "callers at once");
 ABSL_FLAG(std::string, load_trace, "",
           "file for the load of the last day's busiest daemon, for valvekeel replay-waiting");
-ABSL_FLAG(std::uint64_t, shown, kShownViolations, "violations printed of a day");
+ABSL_FLAG(std::uint64_t, shown, kDefaultShownViolations, "violations printed of a day");
 ABSL_FLAG(bool, print_log, false, "print the daemons' log lines");
 
 namespace {
 
-/// Prints a day that broke a rule.
-void Print(std::uint64_t seed, const valvekeel::proxysim::ScenarioResult& result) {
+/// Prints the faults of a scenario that broke a rule, and its violations.
+void PrintViolations(std::uint64_t seed, const valvekeel::proxysim::ScenarioResult& result) {
   std::cout << "seed " << seed << ":\n";
   for (const std::string& fault : result.faults) {
     std::cout << "  " << fault << "\n";
@@ -74,16 +74,16 @@
   const std::size_t daemons = cost.daemons;
   std::cout << "| " << daemons << " x " << cost.services << " | " << name << " | "
             << static_cast<double>(phase.messages) / seconds << " | "
-            << static_cast<double>(phase.plain_messages) / seconds << " | "
-            << static_cast<double>(phase.most_messages) / seconds << " | "
+            << static_cast<double>(phase.max_roleless_messages) / seconds << " | "
+            << static_cast<double>(phase.max_messages) / seconds << " | "
             << static_cast<double>(phase.bytes) / seconds / 1000 << " | "
-            << static_cast<double>(phase.plain_bytes) / seconds / 1000 << " | "
-            << static_cast<double>(phase.most_bytes) / seconds / 1000 << " | " << phase.largest
-            << " | " << phase.store_calls << " | "
+            << static_cast<double>(phase.max_roleless_bytes) / seconds / 1000 << " | "
+            << static_cast<double>(phase.max_bytes) / seconds / 1000 << " | "
+            << phase.largest_message << " | " << phase.store_calls << " | "
             << phase.processor_seconds / seconds / static_cast<double>(daemons) * 1000 << " |\n";
 }
 
-/// @return the exit status: 1 if the daemons of some size did not agree.
+/// @return the exit status: 1 if the daemons of any deployment disagreed on the coordinators.
 int PrintControlCost(const std::vector<std::string>& sizes) {
   std::cout
       << "| daemons x services | phase | messages/s | of a plain daemon, most | of any, most | "
@@ -92,14 +92,15 @@
          "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
   bool agreed = true;
   for (const std::string& size : sizes) {
-    const std::size_t by = size.find('x');
-    const std::size_t services = by == std::string::npos ? valvekeel::proxysim::kUsualServices
-                                                         : std::stoul(size.substr(by + 1));
+    const std::size_t separator = size.find('x');
+    const std::size_t services = separator == std::string::npos
+                                     ? valvekeel::proxysim::kDefaultServices
+                                     : std::stoul(size.substr(separator + 1));
     const auto cost = valvekeel::proxysim::MeasureControlCost(std::stoul(size), services);
     PrintPhase("start", cost, cost.start);
-    PrintPhase("rest", cost, cost.rest);
-    PrintPhase("return of all", cost, cost.herd_return);
-    agreed = agreed && cost.agreed_at_rest && cost.agreed_at_end;
+    PrintPhase("rest", cost, cost.idle);
+    PrintPhase("return of all", cost, cost.mass_restart);
+    agreed = agreed && cost.agreed_when_idle && cost.agreed_at_end;
   }
   std::cout << (agreed ? "all agreed on the coordinators\n" : "NOT AGREED\n");
   return agreed ? 0 : 1;
@@ -114,7 +115,7 @@
     return PrintControlCost(absl::GetFlag(FLAGS_control_cost));
   }
   const auto start = std::chrono::steady_clock::now();
-  std::map<std::string, std::size_t> days_by_rule;
+  std::map<std::string, std::size_t> runs_by_rule;
   std::size_t attempts = 0;
   std::size_t succeeded = 0;
   std::size_t promotions = 0;
@@ -128,8 +129,8 @@
     options.sessions = absl::GetFlag(FLAGS_sessions);
     options.draw_shape = absl::GetFlag(FLAGS_draw_shape);
     options.large = absl::GetFlag(FLAGS_large);
-    options.planned = absl::GetFlag(FLAGS_planned);
-    options.anew = absl::GetFlag(FLAGS_anew);
+    options.planned_stops = absl::GetFlag(FLAGS_planned);
+    options.restart_empty = absl::GetFlag(FLAGS_anew);
     options.store_restores = absl::GetFlag(FLAGS_store_restores);
     options.evacuations = absl::GetFlag(FLAGS_evacuations);
     options.mechanisms.evacuation_bound = !absl::GetFlag(FLAGS_no_evacuation_bound);
@@ -148,23 +149,23 @@
     if (options.record_load) {
       std::ofstream(absl::GetFlag(FLAGS_load_trace)) << result.load_trace;
     }
-    std::map<std::string, bool> broken;
+    std::map<std::string, bool> broken_rules;
     for (const auto& violation : result.violations) {
-      broken[violation.rule] = true;
+      broken_rules[violation.rule] = true;
     }
-    for (const auto& [rule, is_broken] : broken) {
-      ++days_by_rule[rule];
+    for (const auto& [rule, is_broken] : broken_rules) {
+      ++runs_by_rule[rule];
     }
     if (!result.violations.empty()) {
-      Print(seed, result);
+      PrintViolations(seed, result);
     }
   }
   const std::chrono::duration<double> seconds = std::chrono::steady_clock::now() - start;
   std::cout << "days " << absl::GetFlag(FLAGS_seeds) << ", attempts " << attempts << ", succeeded "
             << succeeded << ", promotions " << promotions << ", relayed " << relayed
             << ", planned stops " << stops << ", " << seconds.count() << " s\n";
-  for (const auto& [rule, days] : days_by_rule) {
-    std::cout << "days that broke " << rule << ": " << days << "\n";
+  for (const auto& [rule, runs] : runs_by_rule) {
+    std::cout << "days that broke " << rule << ": " << runs << "\n";
   }
-  return days_by_rule.empty() ? 0 : 1;
+  return runs_by_rule.empty() ? 0 : 1;
 }
--- a/src/gateway/batch_router.cc
+++ b/src/gateway/batch_router.cc
@@ -23,7 +23,7 @@
 constexpr std::int64_t kMicrosPerMilli = 1000;
 constexpr Duration kRetryAfterNoPrimary{500'000};
 
-BatchReply RefusedHere(Refusal refusal, std::string reason, Duration retry_after) {
+BatchReply MakeRefusal(Refusal refusal, std::string reason, Duration retry_after) {
   BatchReply reply;
   reply.outcome = Outcome::kRefused;
   reply.refusal = refusal;
@@ -74,21 +74,21 @@
   return found->second;
 }
 
-void BatchRouter::NoteOutcome(const SessionRoute& route, const BatchReply& reply,
-                              const std::string& instance) {
+void BatchRouter::RecordOutcome(const SessionRoute& route, const BatchReply& reply,
+                                const std::string& instance) {
   if (reply.replayed != common::Position{}) {
-    backends_.NoteReplayed(route.database, instance, reply.replayed);
+    backends_.RecordReplayed(route.database, instance, reply.replayed);
   }
   const bool lost = reply.outcome == Outcome::kUnknown ||
                     (reply.outcome == Outcome::kRefused && reply.refusal == Refusal::kUnreachable);
   if (lost) {
-    backends_.NoteUnreachable(route.database, instance);
+    backends_.RecordUnreachable(route.database, instance);
   }
 }
 
 awaitable<RoutedReply> BatchRouter::Run(SessionRoute& route, SessionBatch batch) {
   const Instant deadline = SteadyNow() + route.budget;
-  BudgetOf(route.share_group).NoteRequest();
+  BudgetOf(route.share_group).OnRequest();
   BatchRequest request;
   request.database = route.database;
   request.share_group = route.share_group;
@@ -116,7 +116,7 @@
 
   if (reply.outcome == Outcome::kUnknown && !batch.may_commit) {
     reply =
-        RefusedHere(Refusal::kTransactionLost,
+        MakeRefusal(Refusal::kTransactionLost,
                     absl::StrCat("the transaction was rolled back: ", reply.reason), Duration{0});
   }
   RoutedReply routed;
@@ -148,11 +148,11 @@
   request.instance = instance;
   request.continues = true;
   BatchReply reply = co_await backends_.Execute(std::move(request));
-  NoteOutcome(route, reply, instance);
+  RecordOutcome(route, reply, instance);
   co_return reply;
 }
 
-awaitable<bool> BatchRouter::PassBarrier(SessionRoute& route, Instant deadline) {
+awaitable<bool> BatchRouter::ConfirmBarrier(SessionRoute& route, Instant deadline) {
   ++counters_.barriers;
   while (SteadyNow() < deadline) {
     const auto view = backends_.View(route.database);
@@ -179,25 +179,25 @@
   ++counters_.reads;
   const bool by_position = settings_.read_policy == routing::ReadPolicy::kByPosition;
   if (by_position && route.barrier_needed) {
-    const bool passed = co_await PassBarrier(route, deadline);
+    const bool passed = co_await ConfirmBarrier(route, deadline);
     if (!passed) {
-      co_return RefusedHere(Refusal::kUnreachable,
+      co_return MakeRefusal(Refusal::kUnreachable,
                             "no primary confirmed a position for this session's first read",
                             kRetryAfterNoPrimary);
     }
   }
   request.required = route.required;
   BatchReply last =
-      RefusedHere(Refusal::kUnreachable, "no instance can serve the read", kRetryAfterNoPrimary);
+      MakeRefusal(Refusal::kUnreachable, "no instance can serve the read", kRetryAfterNoPrimary);
   bool first = true;
   while (SteadyNow() < deadline) {
     const auto view = backends_.View(route.database);
     if (!view) {
-      co_return RefusedHere(Refusal::kUnreachable, "the database is not declared",
+      co_return MakeRefusal(Refusal::kUnreachable, "the database is not declared",
                             kRetryAfterNoPrimary);
     }
-    const routing::ReadNeeds needs{route.required, settings_.zone, route.preferred_replica,
-                                   route.number};
+    const routing::ReadRequirements needs{route.required, settings_.zone, route.preferred_replica,
+                                          route.number};
     for (const std::string& instance : split_.ReadCandidates(*view, needs, SteadyNow())) {
       const bool primary = instance == view->primary;
       BatchRequest attempt = request;
@@ -205,10 +205,11 @@
       attempt.budget_us = (deadline - SteadyNow()).count();
       attempt.max_staleness_us = primary ? 0 : request.max_staleness_us;
       BatchReply reply = co_await backends_.Execute(std::move(attempt));
-      NoteOutcome(route, reply, instance);
+      RecordOutcome(route, reply, instance);
       const bool rerouted = reply.outcome == Outcome::kDone && !primary && RefusedAsReadOnly(reply);
       if (rerouted && reply.status == wire::TransactionStatus::kIdle) {
-        // The database says that the statement writes; it did not run and goes to the primary.
+        // The replica refused the statement because it writes. It did not run, so it is sent to
+        // the primary.
         --counters_.reads;
         co_return co_await RunWrite(route, std::move(request), deadline);
       }
@@ -228,7 +229,7 @@
       if (overloaded && primary) {
         co_return last;
       }
-      if (last.outcome == Outcome::kUnknown && !BudgetOf(route.share_group).TakeRetry()) {
+      if (last.outcome == Outcome::kUnknown && !BudgetOf(route.share_group).ConsumeRetry()) {
         co_return last;
       }
       counters_.retries += first ? 0 : 1;
@@ -246,7 +247,7 @@
                                             Instant deadline) {
   ++counters_.writes;
   request.access = Access::kWrite;
-  BatchReply last = RefusedHere(Refusal::kUnreachable, "no primary is known", kRetryAfterNoPrimary);
+  BatchReply last = MakeRefusal(Refusal::kUnreachable, "no primary is known", kRetryAfterNoPrimary);
   while (SteadyNow() < deadline) {
     const auto view = backends_.View(route.database);
     const auto primary = view ? routing::ReadWriteSplit::WriteTarget(*view) : std::nullopt;
@@ -255,7 +256,7 @@
       attempt.instance = *primary;
       attempt.budget_us = (deadline - SteadyNow()).count();
       BatchReply reply = co_await backends_.Execute(std::move(attempt));
-      NoteOutcome(route, reply, *primary);
+      RecordOutcome(route, reply, *primary);
       if (reply.outcome == Outcome::kDone && reply.status != wire::TransactionStatus::kIdle) {
         route.transaction_instance = *primary;
       }
@@ -265,14 +266,14 @@
       if (final_refusal || !(not_run || repeat)) {
         co_return reply;
       }
-      if (repeat && !BudgetOf(route.share_group).TakeRetry()) {
+      if (repeat && !BudgetOf(route.share_group).ConsumeRetry()) {
         co_return reply;
       }
       ++counters_.retries;
       last = std::move(reply);
     }
-    if (waiting_writes_ >= settings_.waiting_writes) {
-      co_return RefusedHere(Refusal::kOverloaded, "too many writes wait for a primary",
+    if (waiting_writes_ >= settings_.max_waiting_writes) {
+      co_return MakeRefusal(Refusal::kOverloaded, "too many writes wait for a primary",
                             kRetryAfterNoPrimary);
     }
     ++waiting_writes_;
--- a/src/group/position_history.cc
+++ b/src/group/position_history.cc
@@ -3,8 +3,8 @@
 namespace valvekeel::group {
 namespace {
 
-constexpr common::Duration kKept{10'000'000};
-constexpr common::Duration kSpacing{20'000};
+constexpr common::Duration kRetention{10'000'000};
+constexpr common::Duration kSampleInterval{20'000};
 
 }  // namespace
 
@@ -13,16 +13,16 @@
   if (older) {
     return;
   }
-  // A lower position from a later question means another primary's log: what was known before no
-  // longer orders with it.
+  // A lower position reported to a later request comes from another primary's log. Earlier samples
+  // are not comparable with it.
   if (newest_ && sample.position < newest_->position) {
     samples_.clear();
   }
   newest_ = sample;
-  if (samples_.empty() || sample.instant >= samples_.back().instant + kSpacing) {
+  if (samples_.empty() || sample.instant >= samples_.back().instant + kSampleInterval) {
     samples_.push_back(sample);
   }
-  while (samples_.front().instant + kKept < sample.instant) {
+  while (samples_.front().instant + kRetention < sample.instant) {
     samples_.pop_front();
   }
 }
--- a/src/pool/instance_pool_commit.cc
+++ b/src/pool/instance_pool_commit.cc
@@ -1,4 +1,5 @@
-// Open transactions and confirmation of commits; the rest of the pool is in instance_pool.cc.
+// Handles open transactions and the confirmation of commits; instance_pool.cc has the other parts
+// of the pool.
 
 #include <algorithm>
 #include <array>
@@ -23,16 +24,16 @@
 using common::SteadyNow;
 using common::ValueOf;
 
-constexpr Duration kReconnectPause{50'000};
-constexpr Duration kLongestWait{3'600'000'000};
+constexpr Duration kReconnectInterval{50'000};
+constexpr Duration kMaxConfirmerWait{3'600'000'000};
 constexpr std::size_t kCancelMessageBytes = 256;
 
 }  // namespace
 
 // --- Open transactions ------------------------------------------------------------------------
 
-void InstancePool::KeepPinned(const SessionKey& session, const ConnectionPointer& connection,
-                              bool recorded) {
+void InstancePool::PinConnection(const SessionKey& session, const ConnectionPointer& connection,
+                                 bool recorded) {
   PinnedTransaction& pinned = pinned_[session];
   pinned.connection = connection;
   pinned.recorded = recorded;
@@ -43,32 +44,32 @@
 void InstancePool::Release(const SessionKey& session) {
   const auto running = running_.find(session);
   if (running != running_.end()) {
-    running->second.released = true;  // rolled back when the batch ends
+    running->second.released = true;  // ExecuteAdmitted discards the connection when the batch ends
     return;
   }
   const auto found = pinned_.find(session);
   if (found == pinned_.end()) {
     return;
   }
-  // Closing the connection makes the database roll back; no state can leak to the next session.
+  // The database rolls back when the connection closes; no state can leak to the next session.
   const ConnectionPointer connection = found->second.connection;
   pinned_.erase(found);
   Discard(connection);
 }
 
 void InstancePool::ReleaseGateway(const cluster::MemberId& gateway) {
-  std::vector<SessionKey> gone;
+  std::vector<SessionKey> sessions;
   for (const auto& [session, pinned] : pinned_) {
     if (session.gateway == gateway) {
-      gone.push_back(session);
+      sessions.push_back(session);
     }
   }
   for (const auto& [session, running] : running_) {
     if (session.gateway == gateway) {
-      gone.push_back(session);
+      sessions.push_back(session);
     }
   }
-  for (const SessionKey& session : gone) {
+  for (const SessionKey& session : sessions) {
     Release(session);
   }
 }
@@ -90,7 +91,7 @@
   if (found == running_.end()) {
     return;
   }
-  // PQcancel blocks while it connects, so it runs on a thread of its own.
+  // PQcancel blocks while it connects, so it runs on a separate thread.
   auto handle = std::make_shared<std::unique_ptr<PGcancel, void (*)(PGcancel*)>>(
       found->second.connection->CancelHandle());
   std::thread([handle] {
@@ -110,12 +111,12 @@
     const auto self = shared_from_this();
     const std::string peer = spec.id;
     asio::co_spawn(
-        loop_, [self, peer]() -> awaitable<void> { co_await self->ConfirmWith(peer); },
+        loop_, [self, peer]() -> awaitable<void> { co_await self->RunConfirmer(peer); },
         asio::detached);
   }
 }
 
-awaitable<void> InstancePool::ConfirmWith(std::string peer) {
+awaitable<void> InstancePool::RunConfirmer(std::string peer) {
   ConnectionPointer connection;
   while (!stopped_) {
     const auto spec =
@@ -125,73 +126,76 @@
       confirmers_.erase(peer);
       co_return;
     }
-    Settle(confirmation_.Expire(SteadyNow()));
-    if (!confirmation_.WantsProbe(peer)) {
+    CompleteConfirmations(confirmation_.Expire(SteadyNow()));
+    if (!confirmation_.NeedsProbe(peer)) {
       confirmers_[peer] = std::make_shared<Waiter>(loop_);
-      co_await WaitOn(confirmers_[peer], kLongestWait);
+      co_await WaitOn(confirmers_[peer], kMaxConfirmerWait);
       continue;
     }
-    if (connection == nullptr || !connection->Usable()) {
+    if (connection == nullptr || !connection->IsUsable()) {
       connection = NewConnection(*spec);
       const auto failure = co_await connection->Open(settings_.connect_timeout);
       if (failure) {
         connection = nullptr;
-        co_await WaitOn(std::make_shared<Waiter>(loop_), kReconnectPause);
+        co_await WaitOn(std::make_shared<Waiter>(loop_), kReconnectInterval);
       }
       continue;
     }
-    const confirmation::ProbeNumber probe = confirmation_.ProbeSent(peer);
+    const confirmation::ProbeNumber probe = confirmation_.StartProbe(peer);
     const auto answered = co_await ProbeInTime(connection);
     if (!IsOk(answered)) {
-      confirmation_.ProbeFailed(probe);
+      confirmation_.OnProbeFailed(probe);
       continue;
     }
     const monitor::Observation& answer = ValueOf(answered);
     if (!answer.in_recovery && answer.term > known_term_ && on_topology_) {
-      // The new primary itself; no need to wait for its own owner's next probe.
+      // The peer is the new primary: report it now, without waiting for the next probe of its
+      // own pool.
       on_topology_(database_, peer, answer);
     }
-    Settle(confirmation_.ProbeAnswered(probe, {answer.term, answer.received}));
-    if (confirmation_.WantsProbe(peer)) {
-      co_await WaitOn(std::make_shared<Waiter>(loop_), settings_.confirm_pause);
+    CompleteConfirmations(confirmation_.OnProbeAnswer(probe, {answer.term, answer.received}));
+    if (confirmation_.NeedsProbe(peer)) {
+      co_await WaitOn(std::make_shared<Waiter>(loop_), settings_.confirm_probe_interval);
     }
   }
 }
 
-void InstancePool::Settle(const std::vector<confirmation::Resolution>& resolutions) {
+void InstancePool::CompleteConfirmations(const std::vector<confirmation::Resolution>& resolutions) {
   for (const confirmation::Resolution& resolution : resolutions) {
     const auto found = confirming_.find(resolution.number);
     if (found == confirming_.end()) {
       continue;
     }
-    counters_.superseded += resolution.verdict == confirmation::Verdict::kSuperseded ? 1 : 0;
-    found->second.second = resolution.verdict;
+    counters_.superseded +=
+        resolution.result == confirmation::ConfirmationResult::kSuperseded ? 1 : 0;
+    found->second.second = resolution.result;
     Wake(found->second.first, false);
   }
 }
 
-awaitable<confirmation::Verdict> InstancePool::Confirm(common::Position position,
-                                                       bool position_needed, Duration limit) {
+awaitable<confirmation::ConfirmationResult> InstancePool::Confirm(common::Position position,
+                                                                  bool position_needed,
+                                                                  Duration limit) {
   const confirmation::PendingNumber number = next_pending_++;
   const auto waiter = std::make_shared<Waiter>(loop_);
-  confirming_[number] = {waiter, confirmation::Verdict::kTimedOut};
-  Settle(confirmation_.Add(number, position, position_needed, SteadyNow() + limit));
+  confirming_[number] = {waiter, confirmation::ConfirmationResult::kTimedOut};
+  CompleteConfirmations(confirmation_.Add(number, position, position_needed, SteadyNow() + limit));
   for (const auto& [peer, confirmer] : confirmers_) {
     Wake(confirmer, false);
   }
   co_await WaitOn(waiter, limit);
-  Settle(confirmation_.Expire(SteadyNow()));
-  const confirmation::Verdict verdict = confirming_[number].second;
+  CompleteConfirmations(confirmation_.Expire(SteadyNow()));
+  const confirmation::ConfirmationResult result = confirming_[number].second;
   confirming_.erase(number);
-  co_return verdict;
+  co_return result;
 }
 
 awaitable<std::optional<common::Position>> InstancePool::CurrentPosition(Instant deadline) {
-  auto obtained = co_await Obtain(deadline);
-  if (!IsOk(obtained)) {
+  auto acquired = co_await AcquireConnection(deadline);
+  if (!IsOk(acquired)) {
     co_return std::nullopt;
   }
-  const ConnectionPointer connection = ValueOf(obtained);
+  const ConnectionPointer connection = ValueOf(acquired);
   const auto probed = co_await ProbeInTime(connection);
   if (!IsOk(probed)) {
     Discard(connection);
@@ -217,9 +221,9 @@
     co_return reply;
   }
   reply.position = *position;
-  const auto verdict = co_await Confirm(
+  const auto result = co_await Confirm(
       reply.position, false, std::min(settings_.confirm_timeout, Duration{request.budget_us}));
-  reply.confirmed = verdict == confirmation::Verdict::kConfirmed;
+  reply.confirmed = result == confirmation::ConfirmationResult::kConfirmed;
   reply.reason = reply.confirmed ? "" : "no majority confirmed the primary's term";
   co_return reply;
 }
--- a/src/proxy/catalog_state.cc
+++ b/src/proxy/catalog_state.cc
@@ -10,19 +10,19 @@
 
 using model::Collection;
 
-/// Time for a watch to bring what another daemon knows already.
+/// Time for a watch to deliver a revision that another daemon reported.
 constexpr common::Duration kBehindLimit{500'000};
 /// Time between two attempts to catch up.
-constexpr common::Duration kChasePause{3'000'000};
-/// Reads of the leadership record that fail in a row before the store counts as lost: one answer
-/// may just be lost.
-constexpr std::uint32_t kLostProbes = 2;
+constexpr common::Duration kCatchUpPause{3'000'000};
+/// Number of reads of the leadership record that fail in a row before the store counts as lost: a
+/// single answer may be lost on the way.
+constexpr std::uint32_t kMaxFailedProbes = 2;
 /// At a first start: time for all daemons to register (they start within 0.3 s), so that one list
-/// shows them all, and time for the configuration to be written.
+/// returns them all, and time for the configuration to be written.
 constexpr common::Duration kFirstDaemonsDelay{1'300'000};
 constexpr common::Duration kFirstConfigurationDelay{1'500'000};
-/// Bytes of a name of an unusable entry that are logged.
-constexpr std::size_t kLongestNameLogged = 64;
+/// Maximum number of logged bytes of an unusable entry's name.
+constexpr std::size_t kMaxLoggedNameBytes = 64;
 
 const char* CollectionName(Collection collection) {
   switch (collection) {
@@ -47,26 +47,26 @@
   for (const Collection collection : {Collection::kConfiguration, Collection::kInstances}) {
     followers_.emplace(collection, metadata::CollectionFollower(collection, settings.watch_wait));
   }
-  // Nothing is late if these are: a promoter's write meets a newer record by its condition, and a
-  // daemon that is not known yet makes itself heard.
+  // Delays of these collections do no harm: a promoter's conditional write fails if the record is
+  // newer, and a daemon that is not listed yet sends heartbeats.
   for (const Collection collection : {Collection::kDaemons, Collection::kLeadership}) {
     followers_.emplace(collection,
                        metadata::CollectionFollower(collection, settings.slow_watch_wait));
   }
   for (const Collection collection :
        {Collection::kConfiguration, Collection::kInstances, Collection::kDaemons}) {
-    followers_.at(collection).AllowOldFirstList();
+    followers_.at(collection).AllowStaleFirstList();
   }
-  // Only who replaces primaries needs the record; the roles are not known yet.
+  // Only daemons that replace primaries need the record, and the roles are not known yet.
   followers_.at(Collection::kLeadership)
       .SetPace({settings.slow_watch_wait, common::Duration(0), false});
-  // At a first start everything is written at once: each change would end every watch.
+  // At a first start everything is written at the same time, and each change would end every watch.
   if (settings.first_start) {
-    const metadata::FollowPace gathered{settings.slow_watch_wait, settings.relaxed_pause};
+    const metadata::FollowPace batched{settings.slow_watch_wait, settings.relaxed_pause};
     for (const Collection collection : {Collection::kConfiguration, Collection::kDaemons}) {
-      followers_.at(collection).SetPace(gathered);
+      followers_.at(collection).SetPace(batched);
     }
-    // Most daemons of a large deployment need no instances: the roles tell.
+    // Most daemons of a large deployment need no instances; that depends on their roles.
     followers_.at(Collection::kInstances)
         .SetPace({settings.slow_watch_wait, settings.relaxed_pause, false});
   }
@@ -76,34 +76,37 @@
   if (std::exchange(started_, true) || !settings_.first_start) {
     return;
   }
-  followers_.at(Collection::kDaemons).NotBefore(now + kFirstDaemonsDelay);
-  followers_.at(Collection::kConfiguration).NotBefore(now + kFirstConfigurationDelay);
+  followers_.at(Collection::kDaemons).DelayCallsUntil(now + kFirstDaemonsDelay);
+  followers_.at(Collection::kConfiguration).DelayCallsUntil(now + kFirstConfigurationDelay);
 }
 
 void CatalogState::SetInterest(const Interest& interest) {
   using metadata::FollowPace;
   const common::Duration coordinator_wait =
-      interest.reader ? settings_.coordinator_watch_wait : settings_.relaxed_watch_wait;
-  const FollowPace close{interest.everything ? settings_.watch_wait : coordinator_wait};
+      interest.reads_record ? settings_.coordinator_watch_wait : settings_.relaxed_watch_wait;
+  const FollowPace close{interest.all_collections ? settings_.watch_wait : coordinator_wait};
   const FollowPace slow{settings_.slow_watch_wait};
   const FollowPace rare{settings_.relaxed_watch_wait};
-  const FollowPace gathered{settings_.relaxed_watch_wait, settings_.relaxed_pause};
-  const FollowPace on_news{settings_.relaxed_watch_wait, settings_.news_pause, true, true};
-  const FollowPace seldom_news{settings_.seldom_wait, settings_.news_pause, true, true};
-  const FollowPace seldom{settings_.seldom_wait, settings_.relaxed_pause, true, true};
-  const bool closely = interest.everything || interest.leadership;
-  if (!interest.reader) {
-    ForgetProbes();
-  }
-  const FollowPace& distant = interest.informed ? seldom_news : rare;
-  const FollowPace none{settings_.relaxed_watch_wait, settings_.news_pause, false};
-  const FollowPace& unneeded = interest.informed ? none : rare;
-  const FollowPace& needed = interest.informed ? on_news : gathered;
+  const FollowPace batched{settings_.relaxed_watch_wait, settings_.relaxed_pause};
+  const FollowPace on_update{settings_.relaxed_watch_wait, settings_.notified_list_pause, true,
+                             true};
+  const FollowPace rarely_on_update{settings_.notified_watch_wait, settings_.notified_list_pause,
+                                    true, true};
+  const FollowPace daemons_on_update{settings_.notified_watch_wait, settings_.relaxed_pause, true,
+                                     true};
+  const bool closely = interest.all_collections || interest.leadership;
+  if (!interest.reads_record) {
+    ResetFailedProbes();
+  }
+  const FollowPace& distant = interest.receives_updates ? rarely_on_update : rare;
+  const FollowPace none{settings_.relaxed_watch_wait, settings_.notified_list_pause, false};
+  const FollowPace& unneeded = interest.receives_updates ? none : rare;
+  const FollowPace& needed = interest.receives_updates ? on_update : batched;
   const FollowPace& of_instances = interest.instances ? needed : unneeded;
   followers_.at(Collection::kConfiguration).SetPace(closely ? close : distant);
   followers_.at(Collection::kInstances).SetPace(closely ? close : of_instances);
-  const FollowPace& of_daemons = interest.leadership ? gathered : seldom;
-  followers_.at(Collection::kDaemons).SetPace(interest.everything ? slow : of_daemons);
+  const FollowPace& of_daemons = interest.leadership ? batched : daemons_on_update;
+  followers_.at(Collection::kDaemons).SetPace(interest.all_collections ? slow : of_daemons);
   followers_.at(Collection::kLeadership)
       .SetPace({settings_.slow_watch_wait, common::Duration(0), closely});
 }
@@ -112,92 +115,97 @@
   followers_.at(Collection::kDaemons).SetPaused(!discovering);
 }
 
-void CatalogState::SetConfigurationSource(bool source) {
+void CatalogState::SetFollowsConfiguration(bool source) {
   followers_.at(Collection::kConfiguration).SetPaused(!source);
   if (!source && !connected_) {
-    NoteConnection();
+    UpdateConnected();
   }
 }
 
-void CatalogState::Forget(Collection collection) {
+void CatalogState::CancelCall(Collection collection) {
   std::erase_if(calls_, [&](const auto& call) { return call.second.collection == collection; });
 }
 
 void CatalogState::DisconnectFollowers() {
   for (const Collection collection : {Collection::kConfiguration, Collection::kInstances}) {
-    Forget(collection);
+    CancelCall(collection);
     followers_.at(collection).Disconnect();
   }
 }
 
-void CatalogState::NoteProbe(bool answered) {
+void CatalogState::OnProbeResult(bool answered) {
   if (answered) {
-    // A watch that was under way meanwhile may never be answered.
+    // A watch that was sent in the meantime may never be answered.
     if (std::exchange(failed_probes_, 0) > 0) {
       DisconnectFollowers();
     }
     return;
   }
-  if (++failed_probes_ == kLostProbes) {
+  if (++failed_probes_ == kMaxFailedProbes) {
     DisconnectFollowers();
-    NoteConnection();
+    UpdateConnected();
   }
 }
 
-void CatalogState::NoteSeen(Collection collection, const metadata::ReadResult& result) {
+void CatalogState::RecordAnswerRevision(Collection collection, const metadata::ReadResult& result) {
   if (result.status != metadata::ReadStatus::kOk) {
     return;
   }
-  const bool removed = std::any_of(result.objects.begin(), result.objects.end(),
-                                   [](const model::CatalogObject& object) { return object.gone; });
+  const bool removed =
+      std::any_of(result.objects.begin(), result.objects.end(),
+                  [](const model::CatalogObject& object) { return object.deleted; });
   if (collection == Collection::kConfiguration) {
-    seen_.configuration = std::max(seen_.configuration, result.revision);
+    answer_revisions_.configuration = std::max(answer_revisions_.configuration, result.revision);
   } else if (collection == Collection::kInstances) {
-    seen_.instances = std::max(seen_.instances, result.revision);
-    // What was removed has no revision of its own that a list would show.
-    known_.instances = removed ? std::max(known_.instances, result.revision) : known_.instances;
+    answer_revisions_.instances = std::max(answer_revisions_.instances, result.revision);
+    // A list contains no revision of a removed object.
+    object_revisions_.instances = removed ? std::max(object_revisions_.instances, result.revision)
+                                          : object_revisions_.instances;
   }
 }
 
 CatalogRevisions CatalogState::Revisions() const {
-  // The era alone is news: who hears of it lists anew.
-  const model::Revision first = model::FirstOf(era_.Newest());
-  return {std::max({known_.configuration, elsewhere_.configuration, first}),
-          std::max({known_.instances, elsewhere_.instances, first})};
+  // A new era is itself a change: a daemon that receives it lists the collections again.
+  const model::Revision first = model::FirstRevisionOfEra(era_.Newest());
+  return {std::max({object_revisions_.configuration, reported_revisions_.configuration, first}),
+          std::max({object_revisions_.instances, reported_revisions_.instances, first})};
 }
 
-bool CatalogState::Behind() const {
-  const bool instances = followers_.at(Collection::kInstances).Followed();
-  const bool configuration = followers_.at(Collection::kConfiguration).Followed();
+bool CatalogState::IsBehind() const {
+  const bool instances = followers_.at(Collection::kInstances).IsFollowed();
+  const bool configuration = followers_.at(Collection::kConfiguration).IsFollowed();
   return (configuration &&
-          std::max(known_.configuration, seen_.configuration) < elsewhere_.configuration) ||
-         (instances && std::max(known_.instances, seen_.instances) < elsewhere_.instances);
+          std::max(object_revisions_.configuration, answer_revisions_.configuration) <
+              reported_revisions_.configuration) ||
+         (instances && std::max(object_revisions_.instances, answer_revisions_.instances) <
+                           reported_revisions_.instances);
 }
 
-void CatalogState::NoteRevisions(const CatalogRevisions& revisions, common::Instant now) {
-  NoteEra(std::max(revisions.configuration.era, revisions.instances.era), "daemon", now);
-  elsewhere_.configuration = std::max(elsewhere_.configuration, revisions.configuration);
-  elsewhere_.instances = std::max(elsewhere_.instances, revisions.instances);
-  followers_.at(Collection::kConfiguration).NoteNews(elsewhere_.configuration);
-  followers_.at(Collection::kInstances).NoteNews(elsewhere_.instances);
-  if (!Behind()) {
+void CatalogState::ApplyRevisions(const CatalogRevisions& revisions, common::Instant now) {
+  ApplyEra(std::max(revisions.configuration.era, revisions.instances.era), "daemon", now);
+  reported_revisions_.configuration =
+      std::max(reported_revisions_.configuration, revisions.configuration);
+  reported_revisions_.instances = std::max(reported_revisions_.instances, revisions.instances);
+  followers_.at(Collection::kConfiguration).RecordRevision(reported_revisions_.configuration);
+  followers_.at(Collection::kInstances).RecordRevision(reported_revisions_.instances);
+  if (!IsBehind()) {
     behind_since_.reset();
     return;
   }
   if (!behind_since_) {
     behind_since_ = now;
   }
-  if (now < *behind_since_ + kBehindLimit || now < chase_not_before_) {
+  if (now < *behind_since_ + kBehindLimit || now < catch_up_not_before_) {
     return;
   }
-  chase_not_before_ = now + kChasePause;
+  catch_up_not_before_ = now + kCatchUpPause;
   outbox_.Log("watch_overdue",
-              {{"configuration", model::RevisionText(known_.configuration)},
-               {"instances", model::RevisionText(known_.instances)},
-               {"configuration_elsewhere", model::RevisionText(elsewhere_.configuration)},
-               {"instances_elsewhere", model::RevisionText(elsewhere_.instances)}});
+              {{"configuration", model::RevisionText(object_revisions_.configuration)},
+               {"instances", model::RevisionText(object_revisions_.instances)},
+               {"configuration_elsewhere", model::RevisionText(reported_revisions_.configuration)},
+               {"instances_elsewhere", model::RevisionText(reported_revisions_.instances)}});
   for (const Collection collection : {Collection::kConfiguration, Collection::kInstances}) {
-    Forget(collection);
+    CancelCall(collection);
     followers_.at(collection).Abandon();
   }
 }
@@ -211,25 +219,25 @@
 bool CatalogState::DaemonsListed() const { return followers_.at(Collection::kDaemons).Listed(); }
 
 void CatalogState::RefreshInstances(common::Instant now) {
-  if (!followers_.at(Collection::kInstances).Watches(now)) {
+  if (!followers_.at(Collection::kInstances).WatchIsCurrent(now)) {
     RelistInstances();
   }
 }
 
 void CatalogState::RelistInstances() {
   metadata::CollectionFollower& instances = followers_.at(Collection::kInstances);
-  if (instances.Refreshing() || !instances.Followed()) {
+  if (instances.Refreshing() || !instances.IsFollowed()) {
     return;
   }
-  // A watch that waits for news would be in the way.
-  Forget(Collection::kInstances);
+  // The collection has one call at a time, so a waiting watch is cancelled first.
+  CancelCall(Collection::kInstances);
   instances.Abandon();
   instances.Refresh();
 }
 
 std::optional<common::Instant> CatalogState::InstancesFreshAsOf(common::Instant now) const {
   const metadata::CollectionFollower& instances = followers_.at(Collection::kInstances);
-  return instances.Watches(now) ? now : instances.FreshAsOf();
+  return instances.WatchIsCurrent(now) ? now : instances.FreshAsOf();
 }
 
 void CatalogState::Tick(common::Instant now) {
@@ -245,8 +253,8 @@
   }
 }
 
-CatalogUpdate CatalogState::Answered(CallNumber call, const metadata::ReadResult& result,
-                                     common::Instant now, double jitter) {
+CatalogUpdate CatalogState::OnAnswered(CallNumber call, const metadata::ReadResult& result,
+                                       common::Instant now, double jitter) {
   CatalogUpdate update;
   const auto found = calls_.find(call);
   if (found == calls_.end()) {
@@ -255,16 +263,16 @@
   const PendingCall answered_call = found->second;
   const Collection collection = answered_call.collection;
   calls_.erase(found);
-  NoteEra(result.revision.era, "store", now);
+  ApplyEra(result.revision.era, "store", now);
   metadata::CollectionFollower& follower = followers_.at(collection);
   const bool was_listed = follower.Listed();
-  for (const metadata::CatalogChange& change : follower.Answer(result, now, jitter)) {
+  for (const metadata::CatalogChange& change : follower.OnAnswer(result, now, jitter)) {
     Apply(change.object, collection, now, update);
   }
   const bool first_list = follower.Listed() && !was_listed;
   const bool listed = !answered_call.watch && result.status == metadata::ReadStatus::kOk;
   if (listed && collection == Collection::kLeadership && !update.leadership) {
-    update.leadership = {model::LeadershipRecord{}, model::FirstOf(result.revision.era)};
+    update.leadership = {model::LeadershipRecord{}, model::FirstRevisionOfEra(result.revision.era)};
   }
   if (first_list && collection == Collection::kInstances) {
     DropUnlisted(result, update);
@@ -277,12 +285,12 @@
   if (result.status != metadata::ReadStatus::kOk) {
     LogFailure(answered_call, result, now);
   }
-  for (std::size_t unnamed = 0; unnamed < result.unnamed; ++unnamed) {
-    NoteUnusable("no_name", "");
+  for (std::size_t unnamed = 0; unnamed < result.unreadable_names; ++unnamed) {
+    RecordUnusable("no_name", "");
   }
-  NoteSeen(collection, result);
+  RecordAnswerRevision(collection, result);
   daemons_known_ = daemons_known_ || followers_.at(Collection::kDaemons).Listed();
-  NoteConnection();
+  UpdateConnected();
   return update;
 }
 
@@ -292,14 +300,14 @@
               {{"collection", CollectionName(call.collection)},
                {"status", std::to_string(static_cast<int>(result.status))},
                {"call", call.watch ? "watch" : "list"},
-               {"after_ms", Milliseconds(now - call.sent)}},
+               {"after_ms", MillisecondsText(now - call.sent)}},
               LogLevel::kWarning);
 }
 
-void CatalogState::NoteEra(std::uint64_t era, const char* source, common::Instant now) {
+void CatalogState::ApplyEra(std::uint64_t era, const char* source, common::Instant now) {
   const CatalogRevisions known = Revisions();
   const std::uint64_t before = era_.Newest();
-  if (!era_.Note(era, now)) {
+  if (!era_.RecordEra(era, now)) {
     return;
   }
   outbox_.Log("store_era_changed",
@@ -312,7 +320,7 @@
   behind_since_.reset();
   for (auto& [collection, follower] : followers_) {
     if (follower.BeginEra(era)) {
-      Forget(collection);
+      CancelCall(collection);
     }
   }
 }
@@ -327,19 +335,19 @@
       ++instance;
       continue;
     }
-    update.instances_gone.push_back(instance->first);
+    update.removed_instances.push_back(instance->first);
     instance = instances_.erase(instance);
   }
 }
 
-void CatalogState::NoteConnection() {
+void CatalogState::UpdateConnected() {
   const metadata::CollectionFollower& instances = followers_.at(Collection::kInstances);
   const metadata::CollectionFollower& configuration = followers_.at(Collection::kConfiguration);
-  // Who makes no calls counts as connected until one of its calls shows otherwise: it may be chosen
-  // to make them.
-  const bool connected = (configuration.Connected() || !configuration.Followed()) &&
-                         (instances.Connected() || !instances.Followed()) &&
-                         failed_probes_ < kLostProbes;
+  // A daemon that makes no calls counts as connected until one of its calls fails, so that it can
+  // be chosen to make them.
+  const bool connected = (configuration.Connected() || !configuration.IsFollowed()) &&
+                         (instances.Connected() || !instances.IsFollowed()) &&
+                         failed_probes_ < kMaxFailedProbes;
   if (connected != connected_) {
     connected_ = connected;
     outbox_.Log(connected ? "store_regained" : "store_lost", {},
@@ -349,19 +357,20 @@
 
 void CatalogState::Apply(const model::CatalogObject& object, Collection collection,
                          common::Instant now, CatalogUpdate& update) {
-  // What a list no longer holds comes with the list's revision, which others need not know.
-  if (collection == Collection::kConfiguration && !object.gone) {
-    known_.configuration = std::max(known_.configuration, object.revision);
+  // An object that a list no longer contains has the list's revision, which is not reported to
+  // others.
+  if (collection == Collection::kConfiguration && !object.deleted) {
+    object_revisions_.configuration = std::max(object_revisions_.configuration, object.revision);
   }
-  if (collection == Collection::kInstances && !object.gone) {
-    known_.instances = std::max(known_.instances, object.revision);
+  if (collection == Collection::kInstances && !object.deleted) {
+    object_revisions_.instances = std::max(object_revisions_.instances, object.revision);
   }
-  if (object.gone) {
+  if (object.deleted) {
     if (collection == Collection::kInstances) {
       DropInstance(object.name, update);
     }
-    // An entry that went with the store's history names a daemon all the same: it may hold leases
-    // until it hears of that.
+    // A daemon whose entry was lost in a restore of the store stays listed: it may hold leases
+    // until it learns of the restore.
     if (collection == Collection::kDaemons && daemon_eras_[object.name] >= object.revision.era) {
       daemons_.erase(object.name);
     }
@@ -369,20 +378,20 @@
   }
   if (const auto* configuration = std::get_if<model::Configuration>(&object.payload)) {
     update.configuration =
-        TakeConfiguration(*configuration, "store", object.revision) || update.configuration;
+        AdoptConfiguration(*configuration, "store", object.revision) || update.configuration;
   } else if (const auto* instance = std::get_if<model::InstanceEntry>(&object.payload)) {
     ApplyInstance(*instance, now, update);
   } else if (const auto* unusable = std::get_if<model::UnusableEntry>(&object.payload)) {
-    // What the id named before takes no new work, as if its entry had gone: it may serve on, and
-    // its own next entry brings it back.
+    // The instance of that id gets no new work, as if its entry had been removed. It may keep
+    // serving, and its next usable entry lists it again.
     DropInstance(object.name, update);
-    NoteUnusable(model::EntryDefectName(unusable->defect), object.name);
+    RecordUnusable(model::EntryDefectName(unusable->defect), object.name);
   } else if (const auto* daemon = std::get_if<model::DaemonEntry>(&object.payload)) {
     daemons_[daemon->name] = *daemon;
     daemon_eras_[daemon->name] = object.revision.era;
     update.daemons.push_back(*daemon);
   } else if (const auto* record = std::get_if<model::LeadershipRecord>(&object.payload)) {
-    // The records of earlier eras tell nothing of this one.
+    // A record of an earlier era is not valid in this one.
     if (record->era == object.revision.era) {
       update.leadership = {*record, object.revision};
     }
@@ -396,45 +405,46 @@
 void CatalogState::ApplyInstance(const model::InstanceEntry& entry, common::Instant now,
                                  CatalogUpdate& update) {
   const auto known = instances_.find(entry.id);
-  if (known != instances_.end() && known->second.Life() == entry.Life()) {
-    // A store that has just returned may show what the instance said before, such as that it does
-    // not drain. Else the store's order counts: another writer's number must not shut it out.
+  if (known != instances_.end() && known->second.Identity() == entry.Identity()) {
+    // A store that was just restored may return an earlier entry of the instance, for example one
+    // that does not drain. At other times the store's order decides, so that a higher sequence
+    // number of another writer does not block the entry.
     const bool earlier = entry.incarnation != 0 && entry.sequence < known->second.sequence;
     if (earlier && !era_.IsComplete(now)) {
       return;
     }
-    // A later era lists all entries anew: what says nothing new is no news.
-    if (known->second.TellsSameAs(entry)) {
+    // Each new era lists all entries again; an entry without changes is not an update.
+    if (known->second.EqualsIgnoringSequence(entry)) {
       known->second.sequence = entry.sequence;
       return;
     }
   }
   instances_[entry.id] = entry;
-  std::erase(update.instances_gone, entry.id);
+  std::erase(update.removed_instances, entry.id);
   update.instances.push_back(entry);
 }
 
 void CatalogState::DropInstance(const std::string& id, CatalogUpdate& update) {
   if (instances_.erase(id) > 0) {
     std::erase_if(update.instances, [&](const auto& each) { return each.id == id; });
-    update.instances_gone.push_back(id);
+    update.removed_instances.push_back(id);
   }
 }
 
-void CatalogState::NoteUnusable(const std::string& reason, const std::string& name) {
+void CatalogState::RecordUnusable(const std::string& reason, const std::string& name) {
   const std::uint64_t count = ++unusable_entries_[reason];
-  // At counts that double: whoever writes bad entries must not fill the log.
+  // Logged only at powers of two, so that a writer of bad entries cannot fill the log.
   if (std::has_single_bit(count)) {
     outbox_.Log("instance_entry_unusable",
                 {{"reason", reason},
-                 {"name", name.substr(0, kLongestNameLogged)},
+                 {"name", name.substr(0, kMaxLoggedNameBytes)},
                  {"count", std::to_string(count)}},
                 LogLevel::kWarning);
   }
 }
 
-bool CatalogState::TakeConfiguration(const model::Configuration& configuration, const char* source,
-                                     const model::Revision& revision) {
+bool CatalogState::AdoptConfiguration(const model::Configuration& configuration, const char* source,
+                                      const model::Revision& revision) {
   if (configuration.version <= configuration_.version) {
     return false;
   }
@@ -447,19 +457,20 @@
   return true;
 }
 
-CatalogUpdate CatalogState::TakeRead(const model::Configuration& configuration,
-                                     const model::Revision& revision, common::Instant now) {
-  NoteEra(revision.era, "store", now);
-  known_.configuration = std::max(known_.configuration, revision);
+CatalogUpdate CatalogState::ApplyConfigurationRead(const model::Configuration& configuration,
+                                                   const model::Revision& revision,
+                                                   common::Instant now) {
+  ApplyEra(revision.era, "store", now);
+  object_revisions_.configuration = std::max(object_revisions_.configuration, revision);
   CatalogUpdate update;
-  update.configuration = TakeConfiguration(configuration, "read", revision);
+  update.configuration = AdoptConfiguration(configuration, "read", revision);
   return update;
 }
 
-CatalogUpdate CatalogState::TakeCopy(const CatalogCopy& copy) {
+CatalogUpdate CatalogState::ApplyCopy(const CatalogCopy& copy) {
   CatalogUpdate update;
-  update.configuration = TakeConfiguration(copy.configuration, "daemon", 0);
-  // The store's own word goes first: a copy only fills what was never listed.
+  update.configuration = AdoptConfiguration(copy.configuration, "daemon", 0);
+  // The store's own list takes precedence: a copy only adds instances before the first list.
   if (!followers_.at(Collection::kInstances).Listed()) {
     for (const model::InstanceEntry& instance : copy.instances) {
       if (instances_.emplace(instance.id, instance).second) {
--- a/src/proxy/dispatcher_tenants.cc
+++ b/src/proxy/dispatcher_tenants.cc
@@ -1,4 +1,5 @@
-// For whom operations run, and which are turned away for their key or their tenant's limit.
+// Determines the tenant of sessions and operations; rejects unknown keys and tenants over their
+// limit.
 
 #include <utility>
 
@@ -7,41 +8,41 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// What a caller is told of a refusal.
+/// The error answered to a caller that is refused.
 struct Refusal {
   model::ErrorCode code = model::ErrorCode::kBusy;
   std::string text;
 };
 
-std::string ComeBackAfter(common::Duration pause) {
-  return "retry_after_ms=" + Milliseconds(pause);
+std::string RetryAfterText(common::Duration pause) {
+  return "retry_after_ms=" + MillisecondsText(pause);
 }
 
 Refusal RefusalOf(const tenants::admission_result& result) {
   switch (result.outcome) {
-    case tenants::verdict::unknown_key:
+    case tenants::admission_outcome::unknown_key:
       return {model::ErrorCode::kDenied, "unknown key"};
-    case tenants::verdict::unproven:
+    case tenants::admission_outcome::unproven:
       return {model::ErrorCode::kBusy,
-              ComeBackAfter(result.come_back) + " keys cannot be checked now"};
-    case tenants::verdict::over_limit:
+              RetryAfterText(result.retry_after) + " keys cannot be checked now"};
+    case tenants::admission_outcome::over_limit:
       return {model::ErrorCode::kBusy,
-              ComeBackAfter(result.come_back) + " the tenant's rate is used up"};
-    case tenants::verdict::admitted:
+              RetryAfterText(result.retry_after) + " the tenant's rate is used up"};
+    case tenants::admission_outcome::admitted:
       break;
   }
   return {};
 }
 
-const char* OutcomeName(tenants::verdict outcome) {
+const char* OutcomeName(tenants::admission_outcome outcome) {
   switch (outcome) {
-    case tenants::verdict::unknown_key:
+    case tenants::admission_outcome::unknown_key:
       return "unknown key";
-    case tenants::verdict::unproven:
+    case tenants::admission_outcome::unproven:
       return "keys unproven";
-    case tenants::verdict::over_limit:
+    case tenants::admission_outcome::over_limit:
       return "over the limit";
-    case tenants::verdict::admitted:
+    case tenants::admission_outcome::admitted:
       return "admitted";
   }
   return "unknown";
@@ -49,32 +50,33 @@
 
 }  // namespace
 
-tenants::admission_result Dispatcher::Identify(const Session& session, const model::Route& route,
-                                               common::Instant now) const {
+tenants::admission_result Dispatcher::IdentifyTenant(const Session& session,
+                                                     const model::Route& route,
+                                                     common::Instant now) const {
   return admission_.identify(route.is_public, session.key, now);
 }
 
-void Dispatcher::LogTurnedAway(const std::string& request, const model::Route& route,
-                               const tenants::admission_result& result) {
-  admission_.note_refused(result.outcome);
+void Dispatcher::LogRejection(const std::string& request, const model::Route& route,
+                              const tenants::admission_result& result) {
+  admission_.record_refusal(result.outcome);
   outbox_.Log("request_turned_away",
               {{"request", request},
                {"reason", OutcomeName(result.outcome)},
                {"tenant", result.tenant},
                {"service", route.service},
                {"version", std::to_string(admission_.configuration_version())},
-               {"proof_age_ms", Milliseconds(result.proof_age)},
-               {"retry_after_ms", Milliseconds(result.come_back)}},
+               {"proof_age_ms", MillisecondsText(result.proof_age)},
+               {"retry_after_ms", MillisecondsText(result.retry_after)}},
               LogLevel::kWarning);
 }
 
 bool Dispatcher::AcceptsCaller(const Session& session, const model::Route& route,
                                common::Instant now) {
-  const tenants::admission_result result = Identify(session, route, now);
-  if (result.outcome == tenants::verdict::admitted) {
+  const tenants::admission_result result = IdentifyTenant(session, route, now);
+  if (result.outcome == tenants::admission_outcome::admitted) {
     return true;
   }
-  LogTurnedAway("", route, result);
+  LogRejection("", route, result);
   const Refusal refusal = RefusalOf(result);
   outbox_.Emit(CloseSession{session.number, true, refusal.code, refusal.text});
   return false;
@@ -85,31 +87,31 @@
                                                       const model::Route& route,
                                                       common::Instant now) {
   tenants::admission_result result = admission_.admit(route.is_public, session.key, now);
-  if (result.outcome == tenants::verdict::admitted) {
+  if (result.outcome == tenants::admission_outcome::admitted) {
     return std::move(result.tenant);
   }
-  LogTurnedAway(command.request_id, route, result);
+  LogRejection(command.request_id, route, result);
   const Refusal refusal = RefusalOf(result);
   AnswerError(session, refusal.code, refusal.text);
   return std::nullopt;
 }
 
-bool Dispatcher::ContinuesForTenant(Session& session, const CallerCommand& command,
-                                    common::Instant now) {
+bool Dispatcher::CheckTransactionTenant(Session& session, const CallerCommand& command,
+                                        common::Instant now) {
   const Transaction& transaction = session.transaction;
-  const tenants::admission_result result = Identify(session, transaction.route, now);
-  const bool admitted = result.outcome == tenants::verdict::admitted;
+  const tenants::admission_result result = IdentifyTenant(session, transaction.route, now);
+  const bool admitted = result.outcome == tenants::admission_outcome::admitted;
   if (admitted && result.tenant == transaction.tenant) {
     return true;
   }
-  LogTurnedAway(command.request_id, transaction.route, result);
-  // Nothing of the transaction is kept: its connection is rolled back before the answer.
+  LogRejection(command.request_id, transaction.route, result);
+  // Nothing of the transaction is kept: ROLLBACK is sent before the caller is answered.
   FailTransaction(session, now);
   const bool commits = command.command.kind == model::CommandKind::kCommit;
   if (commits) {
     EndTransaction(session, now);
   }
-  if (result.outcome == tenants::verdict::unknown_key) {
+  if (result.outcome == tenants::admission_outcome::unknown_key) {
     AnswerError(session, model::ErrorCode::kDenied, "the key was taken away");
   } else {
     AnswerError(session, model::ErrorCode::kAborted,
@@ -118,9 +120,9 @@
   return false;
 }
 
-bool Dispatcher::StillAdmitted(const Session& session, const tenants::admission_result& found) {
-  const bool same = !session.transaction.open || found.tenant == session.transaction.tenant;
-  return found.outcome == tenants::verdict::admitted && same;
+bool Dispatcher::StillAdmitted(const Session& session, const tenants::admission_result& current) {
+  const bool same = !session.transaction.open || current.tenant == session.transaction.tenant;
+  return current.outcome == tenants::admission_outcome::admitted && same;
 }
 
 void Dispatcher::FailTransaction(Session& session, common::Instant now) {
@@ -133,7 +135,7 @@
   Connection* connection = backend == nullptr ? nullptr : backend->Find(*transaction.connection);
   transaction.connection.reset();
   if (connection != nullptr) {
-    LeaveConnection(transaction, *backend, *connection, now);
+    ReleaseOrCloseConnection(transaction, *backend, *connection, now);
   }
 }
 
--- a/src/proxy/peer_message.cc
+++ b/src/proxy/peer_message.cc
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t kNoAge = -1;
 
-/// Rates are sent as whole thousandths: shorter than a double.
+/// Rates are encoded as whole thousandths, which are shorter than a double.
 constexpr double kThousandths = 1'000;
 
 std::uint64_t ThousandthsOf(double value) {
@@ -36,8 +36,8 @@
 json GroupToJson(const GroupReport& group) {
   return json::array({group.service, group.term, group.primary, AgeToJson(group.confirmation_age),
                       AgeToJson(group.sample_age), group.sample.term, group.sample.lsn,
-                      group.floor.term, group.floor.lsn, group.replicas, group.primary_lost,
-                      group.fence_below, group.released_below});
+                      group.minimum_position.term, group.minimum_position.lsn, group.replica_count,
+                      group.primary_suspected, group.fence_below, group.released_below});
 }
 
 GroupReport GroupFromJson(const json& value) {
@@ -51,10 +51,10 @@
   group.sample_age = AgeFromJson(next());
   group.sample.term = next().get<common::Term>();
   group.sample.lsn = next().get<common::Lsn>();
-  group.floor.term = next().get<common::Term>();
-  group.floor.lsn = next().get<common::Lsn>();
-  group.replicas = next().get<std::size_t>();
-  group.primary_lost = next().get<bool>();
+  group.minimum_position.term = next().get<common::Term>();
+  group.minimum_position.lsn = next().get<common::Lsn>();
+  group.replica_count = next().get<std::size_t>();
+  group.primary_suspected = next().get<bool>();
   group.fence_below = next().get<common::Term>();
   group.released_below = next().get<common::Term>();
   return group;
@@ -87,12 +87,13 @@
     lists.push_back(ToJson(list));
   }
   json introduced = json::array();
-  for (const membership::member& each : view.introduced) {
+  for (const membership::member& each : view.known_hubs) {
     introduced.push_back(json::array({each.zone, ToJson(each)}));
   }
-  return json::array({view.asks, view.from_hub, view.whole, view.large, view.seeks,
-                      std::move(introduced), ToJson(view.held), std::move(lists), view.informed,
-                      view.epoch, view.zones});
+  return json::array({view.requests_hub_role, view.from_hub, view.covers_all_zones,
+                      view.large_deployment, view.requests_discovery, std::move(introduced),
+                      ToJson(view.acknowledged_lists), std::move(lists), view.complete, view.epoch,
+                      view.zone_count});
 }
 
 membership::member MemberFrom(const std::string& zone, const json& value) {
@@ -113,7 +114,7 @@
     list.members.push_back(MemberFrom(list.zone, each));
   }
   list.digest = membership::digest_of(list.members);
-  // Earlier versions do not send it.
+  // Absent in messages of earlier versions.
   if (value.size() > 2) {
     list.moved = value.at(2).get<std::vector<std::string>>();
   }
@@ -124,24 +125,25 @@
   membership::view_message view;
   std::size_t field = 0;
   const auto next = [&]() -> const json& { return value.at(field++); };
-  view.asks = next().get<bool>();
+  view.requests_hub_role = next().get<bool>();
   view.from_hub = next().get<bool>();
-  view.whole = next().get<bool>();
-  view.large = next().get<bool>();
-  view.seeks = next().get<bool>();
+  view.covers_all_zones = next().get<bool>();
+  view.large_deployment = next().get<bool>();
+  view.requests_discovery = next().get<bool>();
   for (const json& each : next()) {
-    view.introduced.push_back(MemberFrom(each.at(0).get<std::string>(), each.at(1)));
+    view.known_hubs.push_back(MemberFrom(each.at(0).get<std::string>(), each.at(1)));
   }
   for (const json& each : next()) {
-    view.held.push_back({each.at(0).get<std::string>(), each.at(1).get<std::uint64_t>()});
+    view.acknowledged_lists.push_back(
+        {each.at(0).get<std::string>(), each.at(1).get<std::uint64_t>()});
   }
   for (const json& each : next()) {
     view.lists.push_back(ZoneListFrom(each));
   }
-  // Earlier versions do not send it: their hubs count as they did.
-  view.informed = field < value.size() ? next().get<bool>() : view.from_hub;
+  // Absent in messages of earlier versions, whose hubs count as informed.
+  view.complete = field < value.size() ? next().get<bool>() : view.from_hub;
   view.epoch = field < value.size() ? next().get<std::uint64_t>() : 0;
-  view.zones = field < value.size() ? next().get<std::size_t>() : 0;
+  view.zone_count = field < value.size() ? next().get<std::size_t>() : 0;
   return view;
 }
 
@@ -152,16 +154,18 @@
   }
   json grants = json::array();
   for (const tenants::rate_grant& each : rates.grants) {
-    grants.push_back(json::array({each.tenant, ThousandthsOf(each.rate),
-                                  ThousandthsOf(each.sustained), ThousandthsOf(each.first)}));
+    grants.push_back(
+        json::array({each.tenant, ThousandthsOf(each.rate), ThousandthsOf(each.fallback_rate),
+                     ThousandthsOf(each.initial_tokens)}));
   }
-  return json::array({rates.allocates, rates.counts, std::move(usage), std::move(grants)});
+  return json::array({rates.sender_is_allocator, rates.receiver_is_coordinator, std::move(usage),
+                      std::move(grants)});
 }
 
 tenants::rate_message RatesFrom(const json& value) {
   tenants::rate_message rates;
-  rates.allocates = value.at(0).get<bool>();
-  rates.counts = value.at(1).get<bool>();
+  rates.sender_is_allocator = value.at(0).get<bool>();
+  rates.receiver_is_coordinator = value.at(1).get<bool>();
   for (const json& each : value.at(2)) {
     rates.usage.push_back({each.at(0).get<std::uint32_t>(), each.at(1).get<std::uint64_t>(),
                            each.at(2).get<std::uint64_t>()});
@@ -183,7 +187,7 @@
   if (value.empty()) {
     return {};
   }
-  // Earlier versions know of no eras.
+  // Earlier versions send no era.
   const std::uint64_t era = value.size() > 3 ? value.at(3).get<std::uint64_t>() : 0;
   return {{value.at(0).get<std::uint64_t>(), era},
           value.at(1).get<std::vector<std::string>>(),
@@ -216,7 +220,7 @@
                                   ToJson(message.rates),
                                   ToJson(message.evacuations),
                                   std::move(groups),
-                                  message.continues,
+                                  message.is_continuation,
                                   message.configuration_revision.era,
                                   message.instances_revision.era});
   std::string bytes;
@@ -251,9 +255,9 @@
     for (const json& group : next()) {
       message.groups.push_back(GroupFromJson(group));
     }
-    // Earlier versions send all groups in one message.
-    message.continues = field < whole.size() && next().get<bool>();
-    // Earlier versions know of no eras: what they tell is older than any.
+    // Absent in messages of earlier versions, which send all groups in one message.
+    message.is_continuation = field < whole.size() && next().get<bool>();
+    // Earlier versions send no era; their revisions count as older than any with an era.
     const auto era = [&] { return field < whole.size() ? next().get<std::uint64_t>() : 0; };
     message.configuration_revision.era = era();
     message.instances_revision.era = era();
--- a/src/proxy/peer_table.cc
+++ b/src/proxy/peer_table.cc
@@ -7,19 +7,19 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Own messages remembered for each peer.
+/// Number of own messages whose send time is kept for each peer.
 constexpr std::size_t kSentKept = 64;
-/// Intervals of a peer without a message after which it does not count as alive.
+/// Announced intervals without a message after which a peer does not count as alive.
 constexpr int kMissedIntervals = 3;
 
-/// Adds the reports of groups that the newer ones don't tell of.
+/// Adds the earlier reports of groups that are missing in the newer ones.
 void AddMissing(const std::vector<GroupReport>& before, std::vector<GroupReport>& newer) {
-  std::set<std::string> told;
+  std::set<std::string> services;
   for (const GroupReport& report : newer) {
-    told.insert(report.service);
+    services.insert(report.service);
   }
   for (const GroupReport& report : before) {
-    if (told.insert(report.service).second) {
+    if (services.insert(report.service).second) {
       newer.push_back(report);
     }
   }
@@ -37,7 +37,7 @@
   return peer;
 }
 
-void PeerTable::Stamp(Peer& peer, PeerMessage& message, common::Instant now) const {
+void PeerTable::FillHeader(Peer& peer, PeerMessage& message, common::Instant now) const {
   message.name = self_;
   message.incarnation = incarnation_;
   message.sequence = peer.next_sequence++;
@@ -56,31 +56,33 @@
   }
   Peer& peer = peers_[from];
   peer.address = from;
-  // A later life may have a lower number if the time of day was set back in between.
-  const bool another = message.incarnation != peer.incarnation;
-  const bool new_life = another && (message.incarnation > peer.incarnation || !Alive(peer, now));
+  // A later incarnation may have a lower number if the system clock was set back in between.
+  const bool different = message.incarnation != peer.incarnation;
+  const bool new_incarnation =
+      different && (message.incarnation > peer.incarnation || !IsAlive(peer, now));
   const bool newer =
       message.incarnation == peer.incarnation && message.sequence > peer.highest_sequence;
-  if (!new_life && !newer) {
+  if (!new_incarnation && !newer) {
     return std::nullopt;
   }
   peer.name = message.name;
-  if (new_life) {
-    // It knows nothing of what was told before.
-    peer.confirmed = common::Instant(0);
-    peer.counts_told_since.reset();
+  if (new_incarnation) {
+    // A restarted peer has lost all that was sent to it.
+    peer.last_echoed_sent_at = common::Instant(0);
+    peer.counts_reported_since.reset();
   }
   peer.incarnation = message.incarnation;
   peer.highest_sequence = message.sequence;
-  peer.heard = now;
+  peer.last_received_at = now;
   std::vector<GroupReport> before = std::exchange(peer.last, message).groups;
-  if (message.continues) {
+  if (message.is_continuation) {
     AddMissing(before, peer.last.groups);
   }
-  peer.wants_introduction = membership::live_view::wants_introduction(message.view);
-  peer.last.view = {};  // taken by the membership
-  peer.reports_loss = std::any_of(peer.last.groups.begin(), peer.last.groups.end(),
-                                  [](const GroupReport& report) { return report.primary_lost; });
+  peer.looks_for_hubs = membership::live_view::is_discovery_request(message.view);
+  peer.last.view = {};  // consumed by the membership
+  peer.suspects_primary =
+      std::any_of(peer.last.groups.begin(), peer.last.groups.end(),
+                  [](const GroupReport& report) { return report.primary_suspected; });
   by_name_[message.name] = &peer;
   if (message.echoed_incarnation != incarnation_) {
     return std::nullopt;
@@ -90,26 +92,27 @@
   if (echoed == peer.sent.end()) {
     return std::nullopt;
   }
-  peer.confirmed = std::max(peer.confirmed, echoed->second);
+  peer.last_echoed_sent_at = std::max(peer.last_echoed_sent_at, echoed->second);
   return echoed->second;
 }
 
-bool PeerTable::Alive(const Peer& peer, common::Instant now) const {
-  return peer.heard &&
-         now < *peer.heard + std::max(kPeerSilence, kMissedIntervals * peer.last.interval);
+bool PeerTable::IsAlive(const Peer& peer, common::Instant now) const {
+  return peer.last_received_at &&
+         now <
+             *peer.last_received_at + std::max(kPeerTimeout, kMissedIntervals * peer.last.interval);
 }
 
-bool PeerTable::AliveInLife(const common::Endpoint& address, std::uint64_t incarnation,
-                            common::Instant now) const {
+bool PeerTable::AliveWithIncarnation(const common::Endpoint& address, std::uint64_t incarnation,
+                                     common::Instant now) const {
   const auto peer = peers_.find(address);
   return peer != peers_.end() && peer->second.incarnation == incarnation &&
-         Alive(peer->second, now);
+         IsAlive(peer->second, now);
 }
 
 std::vector<std::string> PeerTable::LiveNames(common::Instant now) const {
   std::vector<std::string> names;
   for (const auto& [address, peer] : peers_) {
-    if (Alive(peer, now) && !peer.last.stopping) {
+    if (IsAlive(peer, now) && !peer.last.stopping) {
       names.push_back(peer.name);
     }
   }
@@ -117,20 +120,21 @@
   return names;
 }
 
-std::size_t PeerTable::HeardWithin(common::Duration age, common::Instant now) const {
-  return static_cast<std::size_t>(std::count_if(
-      peers_.begin(), peers_.end(),
-      [&](const auto& entry) { return entry.second.heard && now < *entry.second.heard + age; }));
+std::size_t PeerTable::CountReceivedWithin(common::Duration age, common::Instant now) const {
+  return static_cast<std::size_t>(
+      std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
+        return entry.second.last_received_at && now < *entry.second.last_received_at + age;
+      }));
 }
 
-const Peer* PeerTable::ByName(const std::string& name) const {
+const Peer* PeerTable::FindByName(const std::string& name) const {
   const auto found = by_name_.find(name);
   return found == by_name_.end() ? nullptr : found->second;
 }
 
-bool PeerTable::AnyPrimaryLost(common::Instant now) const {
+bool PeerTable::AnyPrimarySuspected(common::Instant now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return entry.second.reports_loss && Alive(entry.second, now);
+    return entry.second.suspects_primary && IsAlive(entry.second, now);
   });
 }
 
--- a/src/proxy/proxy_warm_up.cc
+++ b/src/proxy/proxy_warm_up.cc
@@ -1,4 +1,4 @@
-// What the rule for instances that have just started is told (warm_up/warm_up_rule.h).
+// Feeds the rule for instances that have just started (warm_up/warm_up_rule.h).
 
 #include <algorithm>
 #include <utility>
@@ -8,11 +8,13 @@
 namespace valvekeel::proxy {
 namespace {
 
-/// Daemons heard within this time count for the majority: as many as share an instance's
-/// connections. A daemon that is cut off takes itself for cut off until then.
-constexpr common::Duration kHeardLately{8'000'000};
-/// Time for which a daemon is known to be heard by another that confirmed a message. Twice the
-/// longest interval of heartbeats between daemons that exchange them (1 s), and a half for the way.
+/// Daemons that sent a heartbeat within this time count for the majority. The time equals that for
+/// sharing an instance's connections. A daemon that is cut off counts itself as cut off for this
+/// long.
+constexpr common::Duration kReachableWithin{8'000'000};
+/// Time for which a confirmed message proves that the peer receives this daemon's heartbeats. Twice
+/// the longest heartbeat interval between daemons that exchange them (1 s), and 0.5 s for the
+/// network.
 constexpr common::Duration kConfirmedAge{2'500'000};
 
 }  // namespace
@@ -23,42 +25,43 @@
   if (was_enabled || !warm_up_.enabled()) {
     return;
   }
-  // Until now nothing was noted.
+  // Nothing was recorded while the rule was disabled.
   for (const auto& [id, entry] : catalog_.Instances()) {
-    warm_up_.instances().note_entry(entry, now);
+    warm_up_.instances().apply_entry(entry, now);
   }
   for (const auto& [id, backend] : backends_.All()) {
     if (!backend.Connections().empty()) {
-      warm_up_.first_contact(backend.Entry(), now);
+      warm_up_.on_first_contact(backend.Entry(), now);
     }
   }
 }
 
-void Proxy::NoteWarmUps(const CatalogUpdate& update, common::Instant now) {
+void Proxy::RecordWarmUpEntries(const CatalogUpdate& update, common::Instant now) {
   if (!warm_up_.enabled()) {
     return;
   }
-  for (const std::string& id : update.instances_gone) {
-    warm_up_.instances().note_gone(id);
+  for (const std::string& id : update.removed_instances) {
+    warm_up_.instances().on_entry_removed(id);
   }
   for (const model::InstanceEntry& entry : update.instances) {
-    warm_up_.instances().note_entry(entry, now);
+    warm_up_.instances().apply_entry(entry, now);
   }
 }
 
-warm_up::hearing Proxy::HeardDaemons(common::Instant now) const {
-  warm_up::hearing heard;
-  heard.alive = LiveMembers(now).size();
-  heard.listed = catalog_.Daemons().size();
-  heard.lately =
-      large_ ? view_.live_within(kHeardLately, now) : peers_.HeardWithin(kHeardLately, now) + 1;
+warm_up::reachability Proxy::CountReachableDaemons(common::Instant now) const {
+  warm_up::reachability daemons;
+  daemons.reachable = LiveMembers(now).size();
+  daemons.listed = catalog_.Daemons().size();
+  daemons.recently_reachable = large_deployment_
+                                   ? membership_.count_live_within(kReachableWithin, now)
+                                   : peers_.CountReceivedWithin(kReachableWithin, now) + 1;
   for (const auto& [address, peer] : peers_.All()) {
-    if (peers_.Alive(peer, now)) {
-      ++heard.direct;
-      heard.direct_hearing += now < peer.confirmed + kConfirmedAge ? 1 : 0;
+    if (peers_.IsAlive(peer, now)) {
+      ++daemons.direct_peers;
+      daemons.confirming_peers += now < peer.last_echoed_sent_at + kConfirmedAge ? 1 : 0;
     }
   }
-  return heard;
+  return daemons;
 }
 
 void Proxy::UpdateWarmUpRole(common::Instant now) {
@@ -73,22 +76,22 @@
   warm_up::senders_by_service senders;
   for (const auto& [name, service] : catalog_.Configuration().services) {
     if (warm_up_.instances().warm_up_of(name) != nullptr) {
-      const bool all_send = roles_.meshed() || roles_.direct(name);
+      const bool all_send = roles_.meshed() || roles_.is_direct(name);
       senders[name] = all_send ? live : roles_.owners(name);
     }
   }
-  warm_up_.role().update(senders, HeardDaemons(now), now);
+  warm_up_.role().update(senders, CountReachableDaemons(now), now);
 }
 
 void Proxy::AdvanceWarmUps(common::Instant now) {
   if (!warm_up_.enabled()) {
     return;
   }
-  if (warm_up_.instances().wants_fresh()) {
+  if (warm_up_.instances().needs_refresh()) {
     catalog_.RefreshInstances(now);
   }
   if (const auto as_of = catalog_.InstancesFreshAsOf(now)) {
-    warm_up_.instances().note_fresh(*as_of);
+    warm_up_.instances().on_entries_refreshed(*as_of);
   }
   warm_up_.advance(now);
   LogWarmUps(now);
@@ -99,18 +102,18 @@
     const model::InstanceEntry& entry = backend.Entry();
     const auto state = warm_up_.instances().find(entry, now);
     const auto since = cold_since_.find(id);
-    // A daemon that has no connection to an instance for a while asks for its entry each time.
-    const bool told = state && !warm_up::awaits_entries(*state, now);
-    if (told && since == cold_since_.end()) {
+    // A daemon that had no connection to an instance for a while reads its entry each time.
+    const bool known_cold = state && !warm_up::awaits_refresh(*state, now);
+    if (known_cold && since == cold_since_.end()) {
       cold_since_[id] = now;
       outbox_.Log("instance_cold", {{"instance", id},
                                     {"service", entry.service},
                                     {"known_by", warm_up::source_name(state->source)},
-                                    {"left_ms", Milliseconds(state->until - now)}});
+                                    {"left_ms", MillisecondsText(state->until - now)}});
     } else if (!state && since != cold_since_.end()) {
       outbox_.Log("instance_warm", {{"instance", id},
                                     {"service", entry.service},
-                                    {"after_ms", Milliseconds(now - since->second)}});
+                                    {"after_ms", MillisecondsText(now - since->second)}});
       cold_since_.erase(since);
     }
   }
--- a/src/regions/region_rule.h
+++ b/src/regions/region_rule.h
@@ -1,8 +1,8 @@
 /**
- * @file The access rule that keeps work in its regions.
+ * @file Implements the access rule that keeps work in its allowed regions.
  *
- * Owns: nothing. Invariant: the newest configuration decides, also about work that began under an
- * older one. Pure. Thread: its host's.
+ * Invariant: the newest configuration decides, also about transactions that began under an older
+ * one. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -11,26 +11,27 @@
 
 namespace valvekeel::regions {
 
-/** Why an instance is closed, and why one should not lead. */
+/** Reason for which an instance is closed, or is unfit to lead. */
 inline constexpr const char* OUTSIDE_REGIONS = "outside its regions";
 
-/** Time after which refused work may come back: regions change with a configuration only, and a
- * primary is replaced within about this time. */
-inline constexpr common::Duration COME_BACK{1'000'000};
+/** Retry-after time of refused work. Regions change only with a new configuration, and a primary is
+ * replaced within about this time. */
+inline constexpr common::Duration RETRY_AFTER{1'000'000};
 
+/** Closes the instances outside the regions that are allowed for the work. */
 class region_rule : public access::rule {
  public:
-  /** @param policy  outlives the rule */
+  /** @param policy  must outlive the rule */
   explicit region_rule(const region_policy& policy) : policy(policy) {}
 
-  access::answer judge(const model::InstanceEntry& instance, const access::work& asked,
-                       common::Instant now) const override;
+  access::decision evaluate(const model::InstanceEntry& instance, const access::work& requested,
+                            common::Instant now) const override;
 
-  access::leader_answer judge_leader(const model::InstanceEntry& instance,
-                                     common::Instant now) const override;
+  access::leader_evaluation evaluate_leader(const model::InstanceEntry& instance,
+                                            common::Instant now) const override;
 
-  void note_sent(const model::InstanceEntry& instance, std::size_t requests,
-                 common::Instant now) override;
+  void on_sent(const model::InstanceEntry& instance, std::size_t requests,
+               common::Instant now) override;
 
  private:
   const region_policy& policy;
--- a/src/relay/role_map.cc
+++ b/src/relay/role_map.cc
@@ -10,16 +10,16 @@
 namespace valvekeel::relay {
 namespace {
 
-constexpr const char* COORDINATION = "coordination";
-constexpr const char* OWNER_POOL = "owner pool";
-constexpr std::size_t GUEST_CONNECTIONS = 1;
-const std::vector<std::string> NOBODY;
-const std::map<std::string, std::vector<std::string>> NOBODY_ANYWHERE;
+constexpr const char* COORDINATOR_HASH_KEY = "coordination";
+constexpr const char* OWNER_POOL_HASH_KEY = "owner pool";
+constexpr std::size_t NON_OWNER_CONNECTIONS = 1;
+const std::vector<std::string> NO_OWNERS;
+const std::map<std::string, std::vector<std::string>> NO_OWNERS_BY_ZONE;
 
-/** @return the first of the members: large machines first, then by a hash that all daemons share.
- */
-std::vector<member> largest(const std::string& object, std::vector<member> among,
-                            std::size_t count) {
+/** @return the first members in order: large machines first, then by a hash that is the same on all
+ * daemons. */
+std::vector<member> select_largest(const std::string& object, std::vector<member> among,
+                                   std::size_t count) {
   std::vector<std::pair<std::tuple<std::uint32_t, std::uint64_t, std::string>, std::size_t>> order;
   for (std::size_t at = 0; at < among.size(); ++at) {
     const member& each = among[at];
@@ -35,10 +35,11 @@
   return first;
 }
 
-/** @return names by weighted rendezvous hashing: shares follow the machines' capacity, and the loss
- * of one member moves no other. */
-std::vector<std::string> ranked(const std::string& object, const std::vector<member>& among,
-                                std::size_t count) {
+/** @return names by weighted rendezvous hashing: shares are proportional to the machines' capacity,
+ * and the loss of one member moves no service between the others. */
+std::vector<std::string> select_by_rendezvous_hash(const std::string& object,
+                                                   const std::vector<member>& among,
+                                                   std::size_t count) {
   constexpr double HASH_RANGE = 18446744073709551616.0;  // of 64 bits
   std::vector<std::pair<double, std::string>> order;
   for (const member& each : among) {
@@ -67,28 +68,28 @@
   for (const member& each : this->live) {
     (each.store_connected ? connected : others).push_back(each);
   }
-  const std::vector<member> next =
-      largest(COORDINATION, this->live, this->policy.coordinators + this->policy.deputies);
+  const std::vector<member> next = select_largest(
+      COORDINATOR_HASH_KEY, this->live, this->policy.coordinators + this->policy.deputies);
   this->self_deputy = std::any_of(next.begin(), next.end(),
                                   [&](const member& each) { return each.name == this->self; });
   this->coordinator_names.clear();
   for (std::vector<member>* group : {&connected, &others}) {
     const std::size_t missing = this->policy.coordinators - this->coordinator_names.size();
-    for (member& each : largest(COORDINATION, std::move(*group), missing)) {
+    for (member& each : select_largest(COORDINATOR_HASH_KEY, std::move(*group), missing)) {
       this->coordinator_names.push_back(std::move(each.name));
     }
   }
 }
 
 std::size_t role_map::pool_size(const std::vector<member>& members) const {
-  std::vector<std::uint64_t> sums;  // of the capacity of the first ones
+  std::vector<std::uint64_t> sums;  // prefix sums of the capacities
   std::uint64_t total = 0;
   for (const member& each : members) {
     total += std::max<std::uint32_t>(1, each.capacity);
     sums.push_back(total);
   }
   const double wanted = this->policy.owner_pool_share * static_cast<double>(total);
-  // By doubling: a daemon more or less in the zone must not move services to other owners.
+  // Grows by doubling: one daemon more or less in the zone must not move services to other owners.
   std::size_t size = std::max<std::size_t>(1, this->policy.owner_pool);
   while (size < sums.size() && static_cast<double>(sums[size - 1]) < wanted) {
     size *= 2;
@@ -100,18 +101,19 @@
   this->pools.clear();
   this->pool_names.clear();
   this->owner_count = 0;
-  this->self_next = false;
+  this->self_pool_candidate = false;
   for (const member& each : this->live) {
     this->pools[each.zone].push_back(each);
   }
   for (auto& [zone, members] : this->pools) {
     const std::size_t all = members.size();
-    members = largest(OWNER_POOL, std::move(members), all);
+    members = select_largest(OWNER_POOL_HASH_KEY, std::move(members), all);
     const std::size_t size = this->pool_size(members);
     members.resize(std::min(all, size + this->policy.pool_reserve));
-    this->self_next =
-        this->self_next || std::any_of(members.begin(), members.end(),
-                                       [&](const member& each) { return each.name == this->self; });
+    this->self_pool_candidate =
+        this->self_pool_candidate ||
+        std::any_of(members.begin(), members.end(),
+                    [&](const member& each) { return each.name == this->self; });
     members.resize(std::min(all, size));
     for (const member& each : members) {
       this->pool_names.insert(each.name);
@@ -123,7 +125,7 @@
 bool role_map::becomes_direct(const std::string& service, std::size_t share) const {
   const service_roles* before = this->find(service);
   const bool owned = !this->is_meshed && (before == nullptr || !before->is_direct);
-  if (owned && (!this->may_be_direct || this->sharing > this->policy.most_direct_daemons)) {
+  if (owned && (!this->may_be_direct || this->sharing_daemons > this->policy.most_direct_daemons)) {
     return false;
   }
   return share >=
@@ -135,22 +137,24 @@
   service_roles roles;
   const std::uint32_t reserved = this->policy.reserved_connections;
   const std::size_t shared = most_connections > reserved ? most_connections - reserved : 1;
-  roles.direct_connections = std::max<std::size_t>(1, shared / this->sharing);
-  roles.is_direct = this->sharing <= 1 || this->becomes_direct(service, shared / this->sharing);
-  // One share is left to guests and to owners that have just ceased to be.
+  roles.direct_connections = std::max<std::size_t>(1, shared / this->sharing_daemons);
+  roles.is_direct =
+      this->sharing_daemons <= 1 || this->becomes_direct(service, shared / this->sharing_daemons);
+  // One share is reserved for sessions on daemons that do not own the service, among them former
+  // owners.
   roles.owner_connections = std::max<std::size_t>(1, shared / (this->owner_count + 1));
   return roles;
 }
 
 const role_map::service_owners& role_map::owners_of(const std::string& service) const {
-  const auto [found, added] = this->known_owners.try_emplace(service);
+  const auto [found, added] = this->owners_cache.try_emplace(service);
   service_owners& owners = found->second;
   if (!added || this->find(service) == nullptr || this->find(service)->is_direct) {
     return owners;
   }
   for (const auto& [zone, members] : this->pools) {
     std::vector<std::string>& of_zone = owners.by_zone[zone];
-    of_zone = ranked(service, members, this->policy.owners_per_zone);
+    of_zone = select_by_rendezvous_hash(service, members, this->policy.owners_per_zone);
     owners.all.insert(owners.all.end(), of_zone.begin(), of_zone.end());
   }
   owners.names.insert(owners.all.begin(), owners.all.end());
@@ -159,9 +163,9 @@
 }
 
 bool role_map::owns_any(const std::string& daemon) const {
-  const auto [found, added] = this->known_to_own.try_emplace(daemon, false);
+  const auto [found, added] = this->owns_any_cache.try_emplace(daemon, false);
   if (added) {
-    // Each service has some of a small pool: the first few show it.
+    // The pool is small and each service has owners from it, so the first few services suffice.
     found->second = std::any_of(
         this->services.begin(), this->services.end(),
         [&](const auto& each) { return this->owners_of(each.first).names.contains(daemon); });
@@ -170,30 +174,31 @@
 }
 
 const std::unordered_set<std::string>& role_map::watchers() const {
-  if (this->is_known && this->watcher_names.empty()) {
-    this->watcher_names.insert(this->coordinator_names.begin(), this->coordinator_names.end());
+  if (this->is_computed && this->watchers_cache.empty()) {
+    this->watchers_cache.insert(this->coordinator_names.begin(), this->coordinator_names.end());
     for (const auto& [service, roles] : this->services) {
       const service_owners& owners = this->owners_of(service);
-      this->watcher_names.insert(owners.all.begin(), owners.all.end());
+      this->watchers_cache.insert(owners.all.begin(), owners.all.end());
     }
   }
-  return this->watcher_names;
+  return this->watchers_cache;
 }
 
-bool role_map::update(std::vector<member> live, std::size_t sharing,
+bool role_map::update(std::vector<member> live, std::size_t sharing_daemons,
                       const std::map<std::string, std::uint32_t>& connections, bool may_be_direct) {
-  sharing = std::max<std::size_t>(1, sharing);
-  const bool same = this->is_known && this->sharing == sharing && this->limits == connections &&
-                    this->live == live && this->may_be_direct == may_be_direct;
+  sharing_daemons = std::max<std::size_t>(1, sharing_daemons);
+  const bool same = this->is_computed && this->sharing_daemons == sharing_daemons &&
+                    this->instance_connections == connections && this->live == live &&
+                    this->may_be_direct == may_be_direct;
   if (same) {
     return false;
   }
-  this->is_known = true;
+  this->is_computed = true;
   this->live = std::move(live);
-  this->sharing = sharing;
-  this->limits = connections;
+  this->sharing_daemons = sharing_daemons;
+  this->instance_connections = connections;
   this->may_be_direct = may_be_direct;
-  this->is_meshed = this->sharing <= this->policy.most_meshed_daemons;
+  this->is_meshed = this->sharing_daemons <= this->policy.most_meshed_daemons;
   this->choose_coordinators();
   this->choose_pools();
   std::unordered_map<std::string, service_roles> next;
@@ -201,9 +206,9 @@
     next[service] = this->roles_of(service, most_connections);
   }
   this->services = std::move(next);
-  this->known_owners.clear();
-  this->known_to_own.clear();
-  this->watcher_names.clear();
+  this->owners_cache.clear();
+  this->owns_any_cache.clear();
+  this->watchers_cache.clear();
   this->any_direct = this->services.empty();
   for (const auto& [service, roles] : this->services) {
     this->any_direct = this->any_direct || roles.is_direct;
@@ -224,7 +229,7 @@
              this->coordinator_names.end();
 }
 
-bool role_map::direct(const std::string& service) const {
+bool role_map::is_direct(const std::string& service) const {
   const service_roles* roles = this->find(service);
   return roles == nullptr || roles->is_direct;
 }
@@ -246,8 +251,8 @@
 }
 
 bool role_map::watches_any(const std::string& daemon) const {
-  const bool by_a_direct_service = !this->services.empty() && this->any_direct;
-  return this->is_meshed || by_a_direct_service || this->coordinates(daemon) ||
+  const bool any_direct_service = !this->services.empty() && this->any_direct;
+  return this->is_meshed || any_direct_service || this->coordinates(daemon) ||
          (this->pool_names.contains(daemon) && this->owns_any(daemon));
 }
 
@@ -255,22 +260,22 @@
                                                     const std::string& zone) const {
   const std::map<std::string, std::vector<std::string>>& by_zone = this->owners_by_zone(service);
   const auto owners = by_zone.find(zone);
-  return owners == by_zone.end() ? NOBODY : owners->second;
+  return owners == by_zone.end() ? NO_OWNERS : owners->second;
 }
 
 const std::map<std::string, std::vector<std::string>>& role_map::owners_by_zone(
     const std::string& service) const {
-  return this->find(service) == nullptr ? NOBODY_ANYWHERE : this->owners_of(service).by_zone;
+  return this->find(service) == nullptr ? NO_OWNERS_BY_ZONE : this->owners_of(service).by_zone;
 }
 
 const std::vector<std::string>& role_map::owners(const std::string& service) const {
-  return this->find(service) == nullptr ? NOBODY : this->owners_of(service).all;
+  return this->find(service) == nullptr ? NO_OWNERS : this->owners_of(service).all;
 }
 
-std::size_t role_map::connections(const std::string& service, bool serves_guests) const {
+std::size_t role_map::connection_limit(const std::string& service, bool serves_sessions) const {
   const service_roles* roles = this->find(service);
   if (roles == nullptr) {
-    return GUEST_CONNECTIONS;
+    return NON_OWNER_CONNECTIONS;
   }
   if (roles->is_direct) {
     return roles->direct_connections;
@@ -278,7 +283,7 @@
   if (this->owns(service)) {
     return roles->owner_connections;
   }
-  return serves_guests || this->coordinates() ? GUEST_CONNECTIONS : 0;
+  return serves_sessions || this->coordinates() ? NON_OWNER_CONNECTIONS : 0;
 }
 
 }  // namespace valvekeel::relay
--- a/src/tenants/rate_limiter.h
+++ b/src/tenants/rate_limiter.h
@@ -1,14 +1,15 @@
 /**
- * @file Which operations of a tenant this daemon lets through.
+ * @file Decides which operations of a tenant this daemon admits under the tenant's rate limit.
  *
- * Each daemon that serves sessions counts what it lets through and tells the allocator
- * (rate_allocator.h), which sees the sum over all daemons. A tenant far from its limit is let
- * through without asking anybody. One that comes near it is held back to what the allocator grants
- * to this daemon. Without a word of the allocator each daemon goes on with a little more than what
- * it let through lately, so a lost allocator neither stops tenants nor lets one rush.
+ * Each daemon that serves sessions counts the operations that it admits and reports the counts to
+ * the allocator (rate_allocator.h), which computes the sum over all daemons. A tenant far from its
+ * limit is admitted by a local decision. A tenant near its limit is throttled to the rate that the
+ * allocator grants to this daemon. While the allocator is unresponsive, each daemon admits slightly
+ * more than its recent rate, so that the loss of the allocator neither stops a tenant nor removes
+ * its limit.
  *
  * Owns: counts, grants and token buckets by tenant. Invariant: a tenant without a limit is never
- * refused. Pure. Thread: its host's.
+ * refused. No I/O and no clock; not thread-safe.
  */
 #pragma once
 
@@ -25,70 +26,71 @@
 
 namespace valvekeel::tenants {
 
+/** The rate limits of all tenants at one daemon. */
 class rate_limiter {
  public:
   explicit rate_limiter(const tenant_policy& policy) : policy(policy) {}
 
-  /** Takes the tenants of a new configuration. */
+  /** Applies the tenants of a new configuration; known tenants keep counts, grants and tokens. */
   void set_tenants(const std::map<std::string, tenant>& tenants);
 
-  /** @param daemons  that share a tenant's operations while nothing is known of their demand */
-  void set_sharing(std::size_t daemons) { this->sharing = daemons; }
+  /** @param daemons  number that share a tenant's rate equally while their demand is unknown */
+  void set_sharing_daemons(std::size_t daemons) { this->sharing_daemons = daemons; }
 
   /**
    * Counts an operation of a tenant.
    *
-   * @return nothing if it may run, else the time until there is room
+   * @return nothing if it may run, else the time after which the caller may retry
    */
   std::optional<common::Duration> admit(const std::string& tenant, common::Instant now);
 
-  /** Counts an operation that is sent to an instance once more. */
-  void note_resent(const std::string& tenant, common::Instant now);
+  /** Counts an operation that is sent to an instance again. */
+  void record_resent(const std::string& tenant, common::Instant now);
 
-  /** Takes what the allocator grants: all tenants that are to be held back. */
-  void take_grants(const std::vector<rate_grant>& grants, common::Instant now);
+  /** Applies the allocator's grants; tenants that are not among them are not throttled. */
+  void apply_grants(const std::vector<rate_grant>& grants, common::Instant now);
 
-  /** @return the counts that have changed since an instant. */
+  /** @return the counts that changed at the given time or later. */
   std::vector<usage_count> usage_since(common::Instant since) const;
 
-  /** @return true if some tenant's operations come much faster than they did: the allocator should
-   * hear of it now. Asking resets it. */
-  bool take_surge();
+  /** @return true if a tenant's operations arrive much faster than before, so that the counts
+   * should be reported to the allocator at once. Clears the flag. */
+  bool consume_surge();
 
-  /** @return how many operations were refused, by tenant. */
+  /** @return the number of refused operations by tenant; tenants without any are left out. */
   std::map<std::string, std::uint64_t> refused() const;
 
  private:
-  struct state {
+  struct tenant_state {
     std::string name;
     double rate_limit = 0;  // operations a second over all daemons; 0: none
     usage_count count;
-    common::Instant changed{0};
-    double usual = 0;  // operations a second let through lately
-    common::Instant usual_at{0};
-    std::uint32_t in_slice = 0;  // operations offered in the present slice of time
-    common::Instant slice_began{0};
+    common::Instant changed_at{0};
+    double recent_rate = 0;  // operations a second, averaged over the last admitted ones
+    common::Instant recent_rate_at{0};
+    std::uint32_t offered_in_slice = 0;  // operations in the current time slice
+    common::Instant slice_start{0};
     std::optional<rate_grant> grant;
     double tokens = 0;
-    common::Instant filled_at{0};
+    common::Instant refilled_at{0};
   };
 
-  state* find(const std::string& tenant);
-  bool allocator_silent(common::Instant now) const;
-  /** What flows into a token bucket, and how much it holds at most. */
-  struct bucket {
+  tenant_state* find(const std::string& tenant);
+  bool allocator_unresponsive(common::Instant now) const;
+  /** Refill rate and size of a token bucket. */
+  struct bucket_parameters {
     double rate = 0;  // operations a second
-    double size = 0;
+    double capacity = 0;
   };
-  bucket bucket_of(const state& of, common::Instant now) const;
-  void note_offered(state& of, common::Instant now);
-  void note_admitted(state& of, common::Instant now);
+  bucket_parameters bucket_of(const tenant_state& entry, common::Instant now) const;
+  void record_offered(tenant_state& entry, common::Instant now);
+  void record_admitted(tenant_state& entry, common::Instant now);
 
   const tenant_policy& policy;
-  std::size_t sharing = 1;
-  std::unordered_map<std::string, state> states;
-  std::unordered_map<std::uint32_t, std::string> names;
-  std::optional<common::Instant> allocator_heard;
+  std::size_t sharing_daemons = 1;
+  std::unordered_map<std::string, tenant_state> states;
+  std::unordered_map<std::uint32_t, std::string> names_by_id;
+  std::optional<common::Instant> last_grants_at;
   bool surge = false;
 };
 
--- a/src/warm_up/send_window.cc
+++ b/src/warm_up/send_window.cc
@@ -11,22 +11,22 @@
 
 std::size_t send_window::count(common::Instant now) const {
   std::size_t total = 0;
-  for (const sending& each : this->sent) {
+  for (const send_record& each : this->sent) {
     total += each.at + SEND_WINDOW > now ? each.requests : 0;
   }
   return total;
 }
 
-common::Instant send_window::room_at(std::size_t most, std::size_t requests,
-                                     common::Instant now) const {
-  std::size_t left = this->count(now);
+common::Instant send_window::earliest_send_time(std::size_t limit, std::size_t requests,
+                                                common::Instant now) const {
+  std::size_t counted = this->count(now);
   common::Instant at = now;
-  for (const sending& each : this->sent) {
-    if (left == 0 || left + requests <= most) {
+  for (const send_record& each : this->sent) {
+    if (counted == 0 || counted + requests <= limit) {
       break;
     }
     if (each.at + SEND_WINDOW > now) {
-      left -= each.requests;
+      counted -= each.requests;
       at = each.at + SEND_WINDOW;
     }
   }
--- a/tests/platform/line_protocol_test.cc
+++ b/tests/platform/line_protocol_test.cc
@@ -1,3 +1,5 @@
+// Tests the codecs of the line protocol, also with malformed and split input.
+
 #include "line_protocol.h"
 
 #include <catch2/catch.hpp>
@@ -6,30 +8,30 @@
 namespace {
 
 using host::CallerEnd;
-using host::CallerFault;
+using host::CallerProtocolError;
 using host::CallerStart;
 using host::InstanceAccepted;
-using host::InstanceFault;
+using host::InstanceProtocolError;
 using host::InstanceRejected;
 using model::CommandKind;
 using model::ErrorCode;
 
-constexpr std::size_t kTooLong = (std::size_t{1} << 20U) + 10;
+constexpr std::size_t kOversizedMessageBytes = (std::size_t{1} << 20U) + 10;
 
-/// A codec whose session has started.
-LineCallerCodec Started() {
+/// @return a codec whose session has started.
+LineCallerCodec StartedCodec() {
   LineCallerCodec codec;
   codec.Decode("START db who\r\n");
   return codec;
 }
 
-model::SessionRequest Read(const std::string& id) {
+model::SessionRequest ReadRequest(const std::string& id) {
   return {id, ParseCommand("READ 1a4"), std::nullopt};
 }
 
 }  // namespace
 
-TEST_CASE("Commands keep what follows the verb byte for byte", "[platform]") {
+TEST_CASE("The arguments of commands are kept byte for byte", "[platform]") {
   for (const std::string text :
        {"READ 1a4", "PUT 1a4 some  data with   blanks ", "EXECUTE s1 1a4 x  y", "COMMIT", "BEGIN",
         "BEGIN READ", "ROLLBACK", "SET name a value", "PARSE s1 PUT q2c", "PARSE s2 READ q1",
@@ -38,7 +40,7 @@
   }
 }
 
-TEST_CASE("Texts that are no commands are told as such", "[platform]") {
+TEST_CASE("Malformed commands are of kind kInvalid", "[platform]") {
   for (const std::string text :
        {"", "SELECT 1", "READ", "PUT", "SET", "PARSE s1", "PARSE s1 DROP x", "COMMIT now",
         "BEGIN WRITE", "SYNCTO 1.2 READ x", "STATUS"}) {
@@ -46,7 +48,7 @@
   }
 }
 
-TEST_CASE("A caller's messages are read however the bytes are cut", "[platform]") {
+TEST_CASE("A caller's messages are decoded wherever the byte stream is split", "[platform]") {
   const std::string bytes = "START db who is it\r\nQUERY id1 READ 1a4\r\nBYE\r\n";
   for (std::size_t cut = 1; cut < bytes.size(); ++cut) {
     LineCallerCodec codec;
@@ -61,39 +63,39 @@
   }
 }
 
-TEST_CASE("Bad input of a caller ends its session with an error", "[platform]") {
+TEST_CASE("Malformed input from a caller ends its session with an error", "[platform]") {
   for (const std::string& bytes : std::vector<std::string>{
            "QUERY id READ x\r\n", "HELLO\r\n", "START\r\n", std::string("\0\0\r\n", 4)}) {
     LineCallerCodec codec;
     const auto messages = codec.Decode(bytes);
     REQUIRE(messages.size() == 1);
-    CHECK(std::get<CallerFault>(messages[0]).error == ErrorCode::kMalformed);
+    CHECK(std::get<CallerProtocolError>(messages[0]).error == ErrorCode::kMalformed);
     CHECK(codec.Decode("START db who\r\n").empty());
   }
-  LineCallerCodec own_id = Started();
-  CHECK(std::holds_alternative<CallerFault>(own_id.Decode("QUERY - READ x\r\n").front()));
-  LineCallerCodec twice = Started();
-  CHECK(std::holds_alternative<CallerFault>(twice.Decode("START db who\r\n").front()));
+  LineCallerCodec own_id = StartedCodec();
+  CHECK(std::holds_alternative<CallerProtocolError>(own_id.Decode("QUERY - READ x\r\n").front()));
+  LineCallerCodec twice = StartedCodec();
+  CHECK(std::holds_alternative<CallerProtocolError>(twice.Decode("START db who\r\n").front()));
 }
 
-TEST_CASE("A message without end is refused before it fills the memory", "[platform]") {
-  LineCallerCodec codec = Started();
-  const auto messages = codec.Decode(std::string(kTooLong, 'x'));
+TEST_CASE("A line without an end is rejected at the maximum length", "[platform]") {
+  LineCallerCodec codec = StartedCodec();
+  const auto messages = codec.Decode(std::string(kOversizedMessageBytes, 'x'));
   REQUIRE(messages.size() == 1);
-  CHECK(std::get<CallerFault>(messages[0]).error == ErrorCode::kTooLarge);
+  CHECK(std::get<CallerProtocolError>(messages[0]).error == ErrorCode::kTooLarge);
 }
 
-TEST_CASE("Bytes after the end of a session are not read", "[platform]") {
-  LineCallerCodec codec = Started();
+TEST_CASE("Bytes after the end request of a session are ignored", "[platform]") {
+  LineCallerCodec codec = StartedCodec();
   CHECK(codec.Decode("BYE\r\nQUERY id READ x\r\n").size() == 1);
 }
 
-TEST_CASE("An instance's answers are tied to the requests in order", "[platform]") {
+TEST_CASE("An instance's replies are matched to requests in order", "[platform]") {
   LineInstanceCodec codec;
   CHECK(codec.EncodeStart("group", "", "i-1") == "START group valvekeel i-1\r\n");
   CHECK(codec.EncodeStart("group", "north", "i-1") == "START group north i-1\r\n");
   REQUIRE(std::holds_alternative<InstanceAccepted>(codec.Decode("READY I 3.1207\r\n").front()));
-  model::SessionRequest read = Read("id1");
+  model::SessionRequest read = ReadRequest("id1");
   read.required = common::Position{3, 1207};
   CHECK(codec.EncodeRequest(read) == "QUERY id1 SYNCTO 3.1207 READ 1a4\r\n");
   CHECK(codec.EncodeRequest(model::ControlRequest{model::ControlKind::kStatus, 0}) ==
@@ -113,7 +115,8 @@
   CHECK(status->received == common::Position{3, 1210});
 }
 
-TEST_CASE("Requests of the proxy's own carry its id, controls their terms", "[platform]") {
+TEST_CASE("The proxy's own requests carry its reserved id, and control requests carry their terms",
+          "[platform]") {
   LineInstanceCodec codec;
   model::Command set = ParseCommand("SET v0 abc");
   CHECK(codec.EncodeRequest(model::SessionRequest{"", set, std::nullopt}) ==
@@ -128,10 +131,10 @@
         "QUERY - RESET\r\n");
 }
 
-TEST_CASE("Errors of an instance keep their meaning", "[platform]") {
+TEST_CASE("Error names of an instance are translated to error codes", "[platform]") {
   LineInstanceCodec codec;
   codec.Decode("READY I -\r\n");
-  codec.EncodeRequest(Read("id1"));
+  codec.EncodeRequest(ReadRequest("id1"));
   const auto messages = codec.Decode("ERROR READONLY i-7f3\r\nREADY E 3.1209\r\n");
   const auto& reply = std::get<model::Reply>(messages.front());
   CHECK(reply.error == ErrorCode::kReadOnly);
@@ -141,20 +144,21 @@
         ErrorCode::kTooManyConnections);
 }
 
-TEST_CASE("Answers to nothing, out of order or cut short end the connection", "[platform]") {
+TEST_CASE("Replies that are unexpected, out of order or incomplete are faults of the connection",
+          "[platform]") {
   for (const std::string bytes : {"ROW x\r\n", "COMPLETE x\r\n", "READY I 1.1\r\n", "NOISE\r\n"}) {
     LineInstanceCodec codec;
     codec.Decode("READY I -\r\n");
-    CHECK(std::holds_alternative<InstanceFault>(codec.Decode(bytes).front()));
+    CHECK(std::holds_alternative<InstanceProtocolError>(codec.Decode(bytes).front()));
   }
   LineInstanceCodec twice;
   twice.Decode("READY I -\r\n");
-  twice.EncodeRequest(Read("id1"));
+  twice.EncodeRequest(ReadRequest("id1"));
   const auto messages = twice.Decode("COMPLETE x\r\nCOMPLETE y\r\nREADY I 1.1\r\n");
-  CHECK(std::holds_alternative<InstanceFault>(messages.front()));
+  CHECK(std::holds_alternative<InstanceProtocolError>(messages.front()));
 }
 
-TEST_CASE("Replies to callers are whole lines", "[platform]") {
+TEST_CASE("Replies to callers are encoded as complete lines", "[platform]") {
   LineCallerCodec codec;
   model::Reply reply;
   reply.rows = {"abc"};
@@ -163,10 +167,10 @@
   reply.state = model::TransactionState::kOpen;
   reply.position = common::Position{3, 9};
   CHECK(codec.EncodeReply(reply) == "ROW abc\r\nCOMPLETE 7.1f3\r\nREADY T 3.9\r\n");
-  model::Reply refusal;
-  refusal.error = ErrorCode::kBusy;
-  refusal.error_text = "retry_after_ms=250 no free connection";
-  CHECK(codec.EncodeReply(refusal) ==
+  model::Reply rejection;
+  rejection.error = ErrorCode::kBusy;
+  rejection.error_text = "retry_after_ms=250 no free connection";
+  CHECK(codec.EncodeReply(rejection) ==
         "ERROR BUSY retry_after_ms=250 no free connection\r\nREADY I -\r\n");
 }
 
--- a/tests/proxy/configuration_prover_test.cc
+++ b/tests/proxy/configuration_prover_test.cc
@@ -1,4 +1,4 @@
-// When a read of the configuration shows that the keys in force are the newest.
+// Tests when a read of the configuration proves that the keys in force are the newest.
 
 #include "proxy/configuration_prover.h"
 
@@ -20,16 +20,16 @@
 }
 
 struct ProverFixture {
-  /// Lets a read be made and answered. @return true if it proves something.
+  /// Makes a read and answers it. @return true if it yields a newer proof.
   bool Proves(Instant at) {
     prover.Tick({true, true, true}, at);
-    const auto before = admission.proof().newest();
+    const auto before = admission.proof().newest_proof();
     for (const Action& action : outbox.Take()) {
       if (const auto* read = std::get_if<ReadConfiguration>(&action)) {
-        prover.Read(read->call, 3, catalog);
+        prover.OnReadAnswered(read->call, 3, catalog);
       }
     }
-    const auto after = admission.proof().newest();
+    const auto after = admission.proof().newest_proof();
     return after && (!before || before->read_at < after->read_at);
   }
 
@@ -42,31 +42,35 @@
 
 }  // namespace
 
-TEST_CASE("A store that has just returned from an older copy proves no keys", "[proxy]") {
-  // A version that withdrew a key was acknowledged, and the store returned from a copy without it.
-  // Until the operator's version is written again, a read shows the one before as the newest.
+TEST_CASE("A read of a store that was just restored from an older copy proves no keys", "[proxy]") {
+  // A version that revoked a key is acknowledged, then the store is restored from a copy without
+  // it. Until the operator's version is written again, a read returns the preceding version as the
+  // newest.
   ProverFixture fixture;
-  fixture.catalog.NoteEra(1, "store", kStart);
+  fixture.catalog.ApplyEra(1, "store", kStart);
   CHECK(fixture.Proves(kStart));
   const Instant returned = kStart + std::chrono::seconds(2);
-  fixture.catalog.NoteEra(2, "store", returned);
+  fixture.catalog.ApplyEra(2, "store", returned);
   CHECK_FALSE(fixture.Proves(returned));
-  CHECK_FALSE(fixture.Proves(returned + Duration(metadata::kWrittenAgain / 2)));
-  CHECK(fixture.Proves(returned + metadata::kWrittenAgain));
+  CHECK_FALSE(fixture.Proves(returned + Duration(metadata::kRewriteGracePeriod / 2)));
+  CHECK(fixture.Proves(returned + metadata::kRewriteGracePeriod));
 }
 
-TEST_CASE("A daemon that has just started takes a read for as old as a return could make it",
+TEST_CASE("A daemon that has just started counts a read as old as a restore could make it",
           "[proxy]") {
-  // Of a day on which most daemons were killed around a return, the one that then read for all took
-  // a zone for in use at its first read, which lacked the zone's evacuation
-  // ("in_use_before_ms=1014" where it had been evacuated for 2 s), and work went there past the
+  // Guards against trusting the first read after a start: when most daemons are killed around a
+  // restore of the store, the new reader's first read may lack what was written before the restore.
+  // Its first read of the evacuations then shows an evacuated zone as in use
+  // ("in_use_before_ms=1014" where it had been evacuated for 2 s), and work is sent there after the
   // limit.
   ProverFixture fixture;
-  fixture.catalog.NoteEra(4, "store", kStart);
+  fixture.catalog.ApplyEra(4, "store", kStart);
   REQUIRE(fixture.Proves(kStart));
-  CHECK(fixture.admission.proof().newest()->read_at == kStart - metadata::kWrittenAgain);
-  REQUIRE(fixture.Proves(kStart + metadata::kWrittenAgain));
-  CHECK(fixture.admission.proof().newest()->read_at == kStart + metadata::kWrittenAgain);
+  CHECK(fixture.admission.proof().newest_proof()->read_at ==
+        kStart - metadata::kRewriteGracePeriod);
+  REQUIRE(fixture.Proves(kStart + metadata::kRewriteGracePeriod));
+  CHECK(fixture.admission.proof().newest_proof()->read_at ==
+        kStart + metadata::kRewriteGracePeriod);
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/proxy/proxy_evacuation_test.cc
+++ b/tests/proxy/proxy_evacuation_test.cc
@@ -1,4 +1,4 @@
-// How a daemon learns of evacuated zones, and what it tells others.
+// Tests of how a daemon learns of evacuated zones and what it sends to others.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -27,20 +27,22 @@
   return settings;
 }
 
-/// A daemon that knows one other, which heard all its messages; its store answers as told.
+/// A daemon with one peer, which receives all its messages. The test answers its reads of the
+/// store.
 struct EvacuationFixture {
   EvacuationFixture() { Advance(Duration(0)); }
 
   void Advance(Duration step) {
     now += step;
     proxy.Tick(now);
-    Take();
+    CollectActions();
   }
 
-  void Take() {
+  void CollectActions() {
     for (const Action& action : proxy.TakeActions()) {
-      if (const auto* sent = std::get_if<SendPeer>(&action); sent && sent->address == kPeer) {
-        told.push_back(sent->message);
+      if (const auto* sent = std::get_if<SendPeerMessage>(&action);
+          sent && sent->address == kPeer) {
+        sent_messages.push_back(sent->message);
       }
       if (const auto* read = std::get_if<ReadCatalog>(&action);
           read && read->read.collection == model::Collection::kEvacuations) {
@@ -52,26 +54,26 @@
     }
   }
 
-  /// The other daemon tells a view of this age.
-  void Hear(std::uint64_t revision, const std::vector<std::string>& zones, Duration age) {
+  /// Delivers a heartbeat of the other daemon with a view of this age.
+  void ReceiveView(std::uint64_t revision, const std::vector<std::string>& zones, Duration age) {
     PeerMessage message;
     message.name = "other";
     message.zone = "near";
     message.incarnation = 1;
     message.sequence = ++sequence;
     message.interval = milliseconds(250);
-    if (!told.empty()) {
-      message.echoed = told.back().sequence;
+    if (!sent_messages.empty()) {
+      message.echoed = sent_messages.back().sequence;
       message.echoed_incarnation = kIncarnation;
     }
     message.evacuations = {revision, zones, age};
-    proxy.PeerHeard(kPeer, message, now);
-    Take();
+    proxy.PeerMessageReceived(kPeer, message, now);
+    CollectActions();
   }
 
-  /// Answers the newest question.
-  void Answer(metadata::ReadStatus status, const model::Revision& revision,
-              const std::vector<std::string>& zones) {
+  /// Answers the newest read.
+  void AnswerRead(metadata::ReadStatus status, const model::Revision& revision,
+                  const std::vector<std::string>& zones) {
     metadata::ReadResult result;
     result.status = status;
     result.revision = revision;
@@ -79,7 +81,7 @@
       result.objects.push_back({zone, revision, false, model::ZoneEvacuation{zone}});
     }
     proxy.CatalogRead(reads.back().call, result, now);
-    Take();
+    CollectActions();
   }
 
   bool Logged(const std::string& event) const {
@@ -87,7 +89,7 @@
   }
 
   Instant now = kStart;
-  std::vector<PeerMessage> told;
+  std::vector<PeerMessage> sent_messages;
   std::vector<ReadCatalog> reads;
   std::vector<std::string> events;
   std::uint64_t sequence = 0;
@@ -96,74 +98,76 @@
 
 }  // namespace
 
-TEST_CASE("A view heard is placed by our own message, and told on with its age",
+TEST_CASE("A received view is dated by this daemon's own message and forwarded with its age",
           "[proxy][evacuation]") {
   EvacuationFixture fixture;
-  fixture.Hear(5, {}, milliseconds(100));  // the other has not heard us: nothing to count from
-  CHECK_FALSE(fixture.proxy.Evacuations().known());
-  REQUIRE_FALSE(fixture.told.empty());
+  fixture.ReceiveView(
+      5, {},
+      milliseconds(100));  // the peer has confirmed no message yet: the age has no reference
+  CHECK_FALSE(fixture.proxy.Evacuations().has_view());
+  REQUIRE_FALSE(fixture.sent_messages.empty());
   const Instant sent_at = fixture.now;
   fixture.now += milliseconds(60);
-  fixture.Hear(5, {"north"}, milliseconds(100));
-  REQUIRE(fixture.proxy.Evacuations().known());
+  fixture.ReceiveView(5, {"north"}, milliseconds(100));
+  REQUIRE(fixture.proxy.Evacuations().has_view());
   CHECK(fixture.proxy.Evacuations().newest()->read_at == sent_at - milliseconds(100));
-  CHECK(fixture.proxy.Evacuations().evacuated("north"));
+  CHECK(fixture.proxy.Evacuations().is_evacuated("north"));
   fixture.Advance(milliseconds(40));
-  const evacuation::view_message& message = fixture.told.back().evacuations;
+  const evacuation::view_message& message = fixture.sent_messages.back().evacuations;
   CHECK(message.revision == 5);
   CHECK(message.zones == std::vector<std::string>{"north"});
   CHECK(message.age == milliseconds(200));
 }
 
-TEST_CASE("An evacuation, and its end, is told at once", "[proxy][evacuation]") {
+TEST_CASE("An evacuation and its end are sent at once", "[proxy][evacuation]") {
   EvacuationFixture fixture;
-  fixture.Hear(5, {}, Duration(0));
-  fixture.Hear(5, {}, Duration(0));
+  fixture.ReceiveView(5, {}, Duration(0));
+  fixture.ReceiveView(5, {}, Duration(0));
   fixture.Advance(milliseconds(10));
-  const std::size_t before = fixture.told.size();
+  const std::size_t before = fixture.sent_messages.size();
   fixture.Advance(milliseconds(10));
-  REQUIRE(fixture.told.size() == before);  // no heartbeat is due
-  fixture.Hear(6, {"north"}, Duration(0));
+  REQUIRE(fixture.sent_messages.size() == before);  // no heartbeat is due
+  fixture.ReceiveView(6, {"north"}, Duration(0));
   fixture.Advance(milliseconds(10));
-  REQUIRE(fixture.told.size() == before + 1);
-  CHECK(fixture.told.back().evacuations.zones.size() == 1);
-  fixture.Hear(7, {}, Duration(0));
+  REQUIRE(fixture.sent_messages.size() == before + 1);
+  CHECK(fixture.sent_messages.back().evacuations.zones.size() == 1);
+  fixture.ReceiveView(7, {}, Duration(0));
   fixture.Advance(milliseconds(10));
-  REQUIRE(fixture.told.size() == before + 2);
-  CHECK(fixture.told.back().evacuations.zones.empty());
+  REQUIRE(fixture.sent_messages.size() == before + 2);
+  CHECK(fixture.sent_messages.back().evacuations.zones.empty());
   CHECK(fixture.Logged("evacuation_known"));
   CHECK(fixture.Logged("evacuation_over"));
 }
 
-TEST_CASE("Evacuations are read by a list that is never old", "[proxy][evacuation]") {
+TEST_CASE("Evacuations are read by a list that is never stale", "[proxy][evacuation]") {
   EvacuationFixture fixture;
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
   REQUIRE(fixture.reads.size() == 1);
-  CHECK_FALSE(fixture.reads.back().read.may_be_old);
+  CHECK_FALSE(fixture.reads.back().read.allow_stale);
   CHECK_FALSE(fixture.reads.back().read.after_revision);
   const Instant asked_at = fixture.now;
   fixture.now += milliseconds(5);
-  fixture.Answer(metadata::ReadStatus::kOk, 5, {"north"});
-  REQUIRE(fixture.proxy.Evacuations().known());
+  fixture.AnswerRead(metadata::ReadStatus::kOk, 5, {"north"});
+  REQUIRE(fixture.proxy.Evacuations().has_view());
   CHECK(fixture.proxy.Evacuations().newest()->read_at == asked_at);
 }
 
-TEST_CASE("A store that refuses or forgets the read changes nothing", "[proxy][evacuation]") {
+TEST_CASE("A failed read of the store changes nothing", "[proxy][evacuation]") {
   EvacuationFixture fixture;
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
   REQUIRE(fixture.reads.size() == 1);
   const auto status = GENERATE(metadata::ReadStatus::kRefused, metadata::ReadStatus::kNoAnswer,
                                metadata::ReadStatus::kHistoryGone);
-  fixture.Answer(status, 9, {"north"});
-  CHECK_FALSE(fixture.proxy.Evacuations().known());
+  fixture.AnswerRead(status, 9, {"north"});
+  CHECK_FALSE(fixture.proxy.Evacuations().has_view());
   CHECK(fixture.Logged("evacuations_read_failed"));
   fixture.Advance(milliseconds(810));
-  CHECK(fixture.reads.size() == 2);  // it asks again
+  CHECK(fixture.reads.size() == 2);  // it reads again
 }
 
-TEST_CASE("Without a limit nothing is asked or told", "[proxy][evacuation]") {
+TEST_CASE("Without an evacuation limit no evacuations are read", "[proxy][evacuation]") {
   ProxySettings settings;
   settings.name = "self";
   settings.peer = {"10.0.0.1", 7440};
@@ -175,14 +179,16 @@
     proxy.Tick(now);
     for (const Action& action : proxy.TakeActions()) {
       const auto* read = std::get_if<ReadCatalog>(&action);
-      const bool asks = read != nullptr && read->read.collection == model::Collection::kEvacuations;
-      reads += asks ? 1 : 0;
+      const bool is_evacuation_read =
+          read != nullptr && read->read.collection == model::Collection::kEvacuations;
+      reads += is_evacuation_read ? 1 : 0;
     }
   }
   CHECK(reads == 0);
 }
 
-TEST_CASE("A heartbeat's view survives its encoding", "[proxy][evacuation]") {
+TEST_CASE("The evacuation view of a heartbeat is encoded and decoded unchanged",
+          "[proxy][evacuation]") {
   PeerMessage message;
   message.evacuations = {12, {"north", "south"}, milliseconds(340)};
   const auto decoded = DecodePeerMessage(EncodePeerMessage(message));
@@ -201,24 +207,24 @@
   EvacuationFixture fixture;
   fixture.proxy.SessionStarted(1, "orders", {}, {}, fixture.now);
   fixture.Advance(milliseconds(10));
-  fixture.Answer(metadata::ReadStatus::kOk, {500, 1}, {"north"});
-  REQUIRE(fixture.proxy.Evacuations().evacuated("north"));
+  fixture.AnswerRead(metadata::ReadStatus::kOk, {500, 1}, {"north"});
+  REQUIRE(fixture.proxy.Evacuations().is_evacuated("north"));
   std::size_t answered = fixture.reads.size();
   const auto answer_next = [&](std::uint64_t number, const std::vector<std::string>& zones) {
     for (int step = 0; step < 500 && fixture.reads.size() == answered; ++step) {
       fixture.Advance(milliseconds(10));
     }
     REQUIRE(fixture.reads.size() == ++answered);
-    fixture.Answer(metadata::ReadStatus::kOk, {number, 2}, zones);
+    fixture.AnswerRead(metadata::ReadStatus::kOk, {number, 2}, zones);
   };
   answer_next(440, {});
-  CHECK(fixture.proxy.Evacuations().evacuated("north"));
-  // It was written again, and is taken back at a revision below the one known of before.
+  CHECK(fixture.proxy.Evacuations().is_evacuated("north"));
+  // It was written again, and is withdrawn at a revision below the one known before.
   fixture.Advance(std::chrono::seconds(3));
   answer_next(441, {"north"});
-  CHECK(fixture.proxy.Evacuations().evacuated("north"));
+  CHECK(fixture.proxy.Evacuations().is_evacuated("north"));
   answer_next(442, {});
-  CHECK_FALSE(fixture.proxy.Evacuations().evacuated("north"));
+  CHECK_FALSE(fixture.proxy.Evacuations().is_evacuated("north"));
 }
 
 }  // namespace valvekeel::proxy
--- a/tests/waiting/service_queues_test.cc
+++ b/tests/waiting/service_queues_test.cc
@@ -1,4 +1,4 @@
-// Who waits in vain, by service and by what is waited for.
+// Tests which waiters cannot start in time, by service and by the instances they need.
 
 #include "waiting/service_queues.h"
 
@@ -9,117 +9,117 @@
 
 constexpr common::Duration MILLISECOND{1'000};
 constexpr common::Duration TICK = 10 * MILLISECOND;
-constexpr common::Duration HOLD = 100 * MILLISECOND;
+constexpr common::Duration MAX_WAIT = 100 * MILLISECOND;
 const std::string SERVICE = "ledger";
 
-/** Queues of a service that has started 50 operations a second for 2 s while others waited. */
+/** Queues of a service that started 50 operations a second for 2 s while others waited. */
 struct queues_fixture {
   explicit queues_fixture(need needs = need::any) : at{SERVICE, needs} {
     add();
     for (int tick = 0; tick < 200; ++tick) {
       now += TICK;
       if (tick % 2 == 0) {
-        queues.note_started(at, {0, 0, ""}, now);
+        queues.on_started(at, {0, 0, ""}, now);
       }
-      queues.note_blocked(at, 3, now);
+      queues.on_no_free_slot(at, 3, now);
     }
     queues.remove(1);
   }
 
-  waiter_number add(bool for_room = true) {
+  waiter_number add(bool waits_only_for_slot = true) {
     waiter added;
-    added.number = ++last;
+    added.number = ++last_number;
     added.arrived = now;
-    added.hold_until = now + HOLD;
+    added.queue_deadline = now + MAX_WAIT;
     added.needs = at.needs;
-    queues.add(SERVICE, added, for_room);
+    queues.add(SERVICE, added, waits_only_for_slot);
     return added.number;
   }
 
   service_queues queues;
   target at;
   common::Instant now{10'000'000};
-  waiter_number last = 0;
+  waiter_number last_number = 0;
 };
 
 }  // namespace
 
-TEST_CASE("Who stands too far back is refused, and only who does", "[waiting]") {
+TEST_CASE("Only waiters too far back in the queue are refused", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  const auto& found = fixture.queues.find_hopeless(fixture.now);
-  // 50 a second for 0.1 s: 5 start on the mean, 10 with luck.
+  const auto& found = fixture.queues.find_late_waiters(fixture.now);
+  // At 50 a second, 5 start in 0.1 s on average and up to 10 within one standard deviation.
   REQUIRE(found.size() > 28);
   REQUIRE(found.size() < 34);
   CHECK(found.front().number == 42 - found.size());
-  CHECK(found.front().likely_wait > HOLD);
+  CHECK(found.front().expected_wait > MAX_WAIT);
 }
 
-TEST_CASE("Those refused make no one wait", "[waiting]") {
+TEST_CASE("Refused waiters do not add to the wait of others", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  const auto& found = fixture.queues.find_hopeless(fixture.now);
-  CHECK(found.front().likely_wait == found.back().likely_wait);
+  const auto& found = fixture.queues.find_late_waiters(fixture.now);
+  CHECK(found.front().expected_wait == found.back().expected_wait);
 }
 
-TEST_CASE("What waits for other things than room is neither refused nor counted", "[waiting]") {
+TEST_CASE("A waiter that lacks more than a free slot is neither refused nor counted", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add(false);
   }
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
   fixture.add();
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("A waiter that is tried again counts as what it waits for now", "[waiting]") {
+TEST_CASE("A waiter counts by what it lacked at the latest attempt", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
-    fixture.queues.set_for_room(fixture.add(false), true);
+    fixture.queues.set_waits_only_for_slot(fixture.add(false), true);
   }
-  CHECK_FALSE(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK_FALSE(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("What reads show is not held against the primary's waiters", "[waiting]") {
+TEST_CASE("The rate of reads does not apply to waiters for the primary", "[waiting]") {
   queues_fixture fixture;
   fixture.at.needs = need::primary;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("The queue that formed in a primary's gap is not refused after it", "[waiting]") {
+TEST_CASE("The queue that formed during a primary outage is not refused after it", "[waiting]") {
   queues_fixture fixture(need::primary);
-  fixture.queues.note_no_place(fixture.at, fixture.now);
+  fixture.queues.on_no_instance(fixture.at, fixture.now);
   fixture.now += 700 * MILLISECOND;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
-  fixture.queues.note_blocked(fixture.at, 1, fixture.now);
-  CHECK(fixture.queues.find_hopeless(fixture.now).empty());
+  fixture.queues.on_no_free_slot(fixture.at, 1, fixture.now);
+  CHECK(fixture.queues.find_late_waiters(fixture.now).empty());
 }
 
-TEST_CASE("A read that finds no fresh replica is no gap for others", "[waiting]") {
+TEST_CASE("A read without a fresh replica is no outage for other reads", "[waiting]") {
   queues_fixture fixture;
-  fixture.queues.note_no_place(fixture.at, fixture.now);
-  CHECK(fixture.queues.likely_wait(fixture.at, fixture.now));
+  fixture.queues.on_no_instance(fixture.at, fixture.now);
+  CHECK(fixture.queues.expected_wait(fixture.at, fixture.now));
 }
 
-TEST_CASE("Services do not wait for each other", "[waiting]") {
+TEST_CASE("Services have separate queues", "[waiting]") {
   queues_fixture fixture;
   for (int i = 0; i < 40; ++i) {
     fixture.add();
   }
   const std::string other = "archive";
-  CHECK_FALSE(fixture.queues.likely_wait({other, need::any}, fixture.now));
+  CHECK_FALSE(fixture.queues.expected_wait({other, need::any}, fixture.now));
 }
 
-TEST_CASE("A waiter that is added again keeps its place", "[waiting]") {
+TEST_CASE("A waiter that is added again keeps its position", "[waiting]") {
   queues_fixture fixture;
   const waiter_number first = fixture.add();
   fixture.add();
